--- a/internal/gate/adopt.go
+++ b/internal/gate/adopt.go
@@ -7,55 +7,55 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// adoptTime is how long a new home takes an endpoint for at least as loaded as
-// it last heard: the time in which the other nodes notice the change and tell
-// it what they have in progress there.
-const adoptTime = 1500 * time.Millisecond
+// takeoverPeriod is how long a new owner assumes at least the load that was last
+// reported before the takeover: the time in which the other nodes notice the change
+// and declare what they have in progress at the endpoint.
+const takeoverPeriod = 1500 * time.Millisecond
 
-// adoption is an endpoint whose home the node has become.
-type adoption struct {
+// ownership is the state of an endpoint that the node owns.
+type ownership struct {
 	since time.Time
-	// load is the load last heard of before.
+	// load is the load last reported before the takeover.
 	load kernel.Load
 }
 
-// adopt notes which endpoints the node is the home of.
-func (g *Gate) adopt(v *kernel.View) {
-	if g.adopted == v {
+// updateOwned updates the set of endpoints that the node owns.
+func (g *Gate) updateOwned(v *kernel.View) {
+	if g.ownedView == v {
 		return
 	}
-	g.adopted = v
-	home := make(map[string]adoption, len(g.homes))
+	g.ownedView = v
+	owned := make(map[string]ownership, len(g.owned))
 	for _, p := range v.Pools {
 		for _, e := range p.Endpoints {
 			if e.Home != v.Self.Name {
 				continue
 			}
-			a, known := g.homes[e.Name]
+			o, known := g.owned[e.Name]
 			if !known {
-				a = adoption{since: v.At, load: e.Load}
+				o = ownership{since: v.At, load: e.Load}
 			}
-			home[e.Name] = a
+			owned[e.Name] = o
 		}
 	}
-	g.homes = home
-	// Endpoints are replaced all the time; what was learned of those that are
-	// gone would be kept for good.
-	maps.DeleteFunc(g.learned, func(name string, _ *concurrency) bool {
+	g.owned = owned
+	// Endpoints are replaced all the time; without this the limits of removed ones
+	// would accumulate.
+	maps.DeleteFunc(g.limits, func(name string, _ *concurrencyLimit) bool {
 		_, _, listed := find(v, name)
 		return !listed
 	})
 }
 
-// load returns the load that counts for an endpoint whose home the node is.
+// load returns the load that counts for an endpoint that the node owns.
 func (g *Gate) load(now time.Time, endpoint string) kernel.Load {
 	l := g.loads[endpoint]
-	hidden := g.hidden(now, endpoint)
-	l.Requests = max(l.Requests+hidden.Requests, 0)
-	l.Tokens = max(l.Tokens+hidden.Tokens, 0)
-	if a := g.homes[endpoint]; now.Sub(a.since) < adoptTime {
-		l.Requests = max(l.Requests, a.load.Requests)
-		l.Tokens = max(l.Tokens, a.load.Tokens)
+	correction := g.correction(now, endpoint)
+	l.Requests = max(l.Requests+correction.Requests, 0)
+	l.Tokens = max(l.Tokens+correction.Tokens, 0)
+	if o := g.owned[endpoint]; now.Sub(o.since) < takeoverPeriod {
+		l.Requests = max(l.Requests, o.load.Requests)
+		l.Tokens = max(l.Tokens, o.load.Tokens)
 	}
 	return l
 }
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -10,20 +10,20 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// fleet returns a view of so many endpoints, of which four have the node as
-// their home, as at the target size.
+// fleet returns a view of the given number of endpoints. Each node owns four of
+// them, as at the target size.
 func fleet(endpoints int) *kernel.View {
-	const perHome = 4
+	const perOwner = 4
 	v := &kernel.View{At: time.Unix(0, 0), Self: kernel.Node{Name: "n000"}, Pools: map[string]*kernel.Pool{}}
 	p := &kernel.Pool{Service: manifest.Service{Name: "engines"}, Bound: 1.5, Live: endpoints}
 	for i := range endpoints {
-		home := fmt.Sprintf("n%03d", i/perHome)
-		if i%perHome == 0 {
-			v.Nodes = append(v.Nodes, kernel.Node{Name: home})
+		owner := fmt.Sprintf("n%03d", i/perOwner)
+		if i%perOwner == 0 {
+			v.Nodes = append(v.Nodes, kernel.Node{Name: owner})
 		}
 		load := kernel.Load{Requests: 30, Tokens: 12000}
 		p.Endpoints = append(p.Endpoints, kernel.Endpoint{
-			Name: fmt.Sprintf("w%04d", i), Service: "engines", Home: home, Load: load,
+			Name: fmt.Sprintf("w%04d", i), Service: "engines", Home: owner, Load: load,
 		})
 		p.Total = p.Total.Add(load)
 	}
--- a/internal/gate/concurrency.go
+++ b/internal/gate/concurrency.go
@@ -5,83 +5,85 @@
 	"time"
 )
 
-// Limits of what is learned about one endpoint.
+// Parameters of the concurrency limit.
 const (
-	// LeaseSlack is how much longer than its deadline a request's permit
-	// counts, for the return under way.
+	// LeaseSlack is how much longer than the request's deadline its permit counts,
+	// to cover the time that the release is under way.
 	LeaseSlack = time.Second
 
-	// cutFactor is what a limit is cut to when a request ran out of time, and
-	// cutPause how long the next cut waits, so that the requests that ran out
-	// together count as one sign.
-	cutFactor = 0.6
-	cutPause  = 100 * time.Millisecond
-	// bestDecay is how much slower the best pace gets with each request, so
+	// cutFactor is the part of the running requests that the limit is cut to when a
+	// request misses its deadline. cutInterval is the least time between two cuts,
+	// so that requests that miss their deadlines together count once.
+	cutFactor   = 0.6
+	cutInterval = 100 * time.Millisecond
+	// bestDecay is the factor by which bestPace slows down with each request, so
 	// that it follows an endpoint that became slower.
 	bestDecay = 1.001
-	// hopeless is how many times the best time a request must have had to count
-	// as a sign: one with less hardly had a chance.
-	hopeless = 2.0
-	// forget is the time in which half of what was learned of the pace is
-	// forgotten while no request ends. Without it, an endpoint that was slow
-	// for a moment would be thought too slow for every request, and none would
-	// be let in to show that it is not.
-	forget = time.Second
+	// minTimeFactor is the least time allowed for a request, as a multiple of its
+	// best time, for a miss to count: a request with less had hardly a chance.
+	minTimeFactor = 2.0
+	// paceHalfLife is the time in which the assumed time per token halves while no
+	// request ends. Without it, an endpoint that was slow for a moment would be
+	// considered too slow for every request, and none would be admitted to show
+	// that it is not.
+	paceHalfLife = time.Second
 )
 
-// concurrency is how many requests one endpoint finishes in time. It is learned
-// from those that do and those that don't.
+// concurrencyLimit is the number of requests that one endpoint can run and still
+// finish in time, learned from those that finish in time and those that do not.
 //
-// Guards against this failure: under overload hardly any request is answered, though every
-// engine is busy. What goes wrong: engines take in more than they finish before the deadlines,
-// so that all their work is on answers that come too late. The mean load does not show it,
-// since every endpoint is equally late. The limit is cut when requests run out of time and
-// grows by one for each round of requests that end well, as a congestion window does.
-type concurrency struct {
-	// most is the limit; 0 is none.
-	most float64
-	cut  time.Time
-	// best is the least time for one token, in seconds: tokens of a prompt
-	// take far less than those of an answer, so that only the least is sure.
-	best  float64
-	heard time.Time
+// It guards against the following failure under overload: engines take in more than
+// they can finish before the deadlines, so all their work goes into answers that
+// come too late, and hardly any request is answered although every engine is busy.
+// The mean load does not show it, since every endpoint is equally late. Like a
+// congestion window, the limit is cut when requests miss their deadlines and grows
+// by one for each round of requests that end in time.
+type concurrencyLimit struct {
+	// limit is the number of requests; 0 is no limit.
+	limit   float64
+	lastCut time.Time
+	// bestPace is the shortest time for one token, in seconds. Prompt tokens take
+	// far less than generated ones, so only the minimum is certain.
+	bestPace    float64
+	lastSuccess time.Time
 }
 
-// takes reports whether one more request fits the limit.
-func (c *concurrency) takes(requests int) bool {
-	return c.most == 0 || float64(requests+1) <= max(c.most, 1)
+// admits reports whether one more request fits the limit.
+func (c *concurrencyLimit) admits(requests int) bool {
+	return c.limit == 0 || float64(requests+1) <= max(c.limit, 1)
 }
 
-// late reports whether a request cannot be done in the time left, even at the
+// tooLate reports whether a request cannot finish in the remaining time even at the
 // best pace.
-func (c *concurrency) late(now time.Time, tokens int, left time.Duration) bool {
-	silent := now.Sub(c.heard).Seconds() / forget.Seconds()
-	best := c.best * math.Exp2(-silent)
-	return left.Seconds() < best*float64(tokens)
+func (c *concurrencyLimit) tooLate(now time.Time, tokens int, remaining time.Duration) bool {
+	halfLives := now.Sub(c.lastSuccess).Seconds() / paceHalfLife.Seconds()
+	best := c.bestPace * math.Exp2(-halfLives)
+	return remaining.Seconds() < best*float64(tokens)
 }
 
-// learn takes in a request that ended while the endpoint ran the given number.
-func (c *concurrency) learn(now time.Time, p permit, took time.Duration, requests int) {
+// observe updates the limit with a request that ended while the endpoint ran the
+// given number.
+func (c *concurrencyLimit) observe(now time.Time, p permit, took time.Duration, requests int) {
 	allowed := p.lease - LeaseSlack
 	if took < allowed {
-		c.done(now, p, took, requests)
+		c.recordSuccess(now, p, took, requests)
 		return
 	}
-	if allowed.Seconds() < hopeless*c.best*float64(p.tokens) || now.Sub(c.cut) < cutPause {
+	if allowed.Seconds() < minTimeFactor*c.bestPace*float64(p.tokens) || now.Sub(c.lastCut) < cutInterval {
 		return
 	}
-	c.cut = now
-	c.most = max(cutFactor*float64(requests), 1)
+	c.lastCut = now
+	c.limit = max(cutFactor*float64(requests), 1)
 }
 
-func (c *concurrency) done(now time.Time, p permit, took time.Duration, requests int) {
-	if c.most > 0 && float64(requests+1) > c.most {
-		c.most += 1 / c.most
+func (c *concurrencyLimit) recordSuccess(now time.Time, p permit, took time.Duration, requests int) {
+	if c.limit > 0 && float64(requests+1) > c.limit {
+		c.limit += 1 / c.limit
 	}
-	c.heard = now
+	c.lastSuccess = now
 	pace := took.Seconds() / float64(max(p.tokens, 1))
-	if c.best == 0 {
-		c.best = pace
+	if c.bestPace == 0 {
+		c.bestPace = pace
 	}
-	c.best = min(c.best*bestDecay, pace)
+	c.bestPace = min(c.bestPace*bestDecay, pace)
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,7 @@
-// Package gate admits work to endpoints. Each endpoint has one home node, whose
+// Package gate admits work to endpoints. Each endpoint has one owner node, whose
 // gate grants a permit for every request before it is dispatched, so that no
-// endpoint exceeds its bound although each node sees a sliver of the traffic.
+// endpoint exceeds its bound although each node sees only a small part of the
+// traffic.
 package gate
 
 import (
@@ -11,119 +12,126 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// Verdicts on an ask.
+// Verdicts on a permit request.
 const (
-	// Granted is a permit.
+	// Granted means that the permit is held from now on.
 	Granted Verdict = iota + 1
-	// Full is an endpoint at its bound.
+	// Full means that the endpoint is at its bound.
 	Full
-	// Gone is an endpoint that is leaving or not known.
+	// Gone means that the endpoint is leaving or unknown.
 	Gone
-	// NotHome is an ask that reached a node which is not the endpoint's home.
+	// NotHome means that the node does not own the endpoint, or that its view is
+	// stale.
 	NotHome
-	// Late is a request that no endpoint can do before its deadline.
+	// Late means that the endpoint cannot finish the request before its deadline.
 	Late
 )
 
-// goneFor is how long after its return an ask may arrive.
-const goneFor = 10 * time.Second
+// tombstoneTTL is how long a permit request may arrive after the release of its
+// permit.
+const tombstoneTTL = 10 * time.Second
 
 type (
 	// Config is the settings of a Gate.
 	Config struct {
-		// View returns the newest view of the node's kernel.
+		// View returns the current view of the node's kernel.
 		View func() *kernel.View
 		// Rule bounds the endpoints' loads; nil is NewBoundRule.
 		Rule Rule
-		// Waited is the Rule for requests that homes have denied before; nil is
-		// the whole bound, or Rule where that is given.
+		// Waited is the Rule for requests that other owners have denied before; nil
+		// is the whole bound, or Rule if that is set.
 		//
-		// The margin keeps loads even while there is room elsewhere. Where there is hardly any,
-		// it would keep the fleet from growing into its demand: the mean cannot rise, as
-		// nothing is admitted above it, and nothing is admitted, as the mean does not rise.
+		// The margin of Rule keeps loads even while other endpoints have room. If
+		// hardly any has, it would keep the fleet from following its demand: the
+		// mean cannot rise because nothing is admitted above it, and nothing is
+		// admitted because the mean does not rise.
 		Waited Rule
 	}
 
-	// Verdict is the answer to an ask.
+	// Verdict is the answer to a permit request.
 	Verdict int
 
-	// Ask asks for one permit.
+	// Ask requests one permit.
 	Ask struct {
-		// ID is unique over the fleet.
+		// ID is unique across the fleet.
 		ID       uint64
 		Endpoint string
 		Tokens   int
-		// Waited is set where other homes have denied the request before.
+		// Waited is set if other owners have denied the request before.
 		Waited bool
-		// Node is the node that asks.
+		// Node is the requesting node.
 		Node string
-		// Lease is how long the permit counts unless it is given back.
+		// Lease is how long the permit counts unless it is released.
 		Lease time.Duration
-		// Suspect is how many endpoints died running the request.
+		// Suspect is the number of endpoints that died while running the request.
 		Suspect int
 	}
 
-	// Batch is what a node tells a home in one message.
+	// Batch is one message of a node to an owner.
 	Batch struct {
 		Asks []Ask
-		// Declares is permits that other homes granted.
+		// Declares lists running requests whose permits another owner granted.
 		Declares []Ask
-		// Returns is permits that are given back.
+		// Returns lists released permits.
 		Returns []Return
-		// Own is the load of the sender's own endpoints of the first ask's
-		// service.
+		// Own is the total load of the endpoints that the sender owns, of the
+		// service of the first request in Asks.
 		Own kernel.Load
 	}
 
-	// Return gives one permit back.
+	// Return releases one permit.
 	Return struct {
 		ID uint64
-		// Took is how long the request ran; 0 where it did not.
+		// Took is how long the request ran; 0 if it did not run or its time says
+		// nothing about the endpoint.
 		Took time.Duration
 	}
 
-	// Reply is what a home answers.
+	// Reply is an owner's answer to a Batch.
 	Reply struct {
-		// Verdicts answers each ask, in the order asked.
+		// Verdicts answers each request of Asks, in order.
 		Verdicts []Verdict
-		// Own is the load of the home's endpoints of the first ask's service.
+		// Own is the total load of the endpoints that the owner owns, of the
+		// service of the first request in Asks.
 		Own kernel.Load
-		// Loads is the load of each of them, where the home denied an ask.
+		// Loads is the load of each of these endpoints, if a request was denied as
+		// Full.
 		Loads []kernel.EndpointLoad
 	}
 
-	// Gate holds the permits of the endpoints whose home the node is. It is
-	// safe for concurrent use.
+	// Gate holds the permits of the endpoints that the node owns. It is safe for
+	// concurrent use.
 	Gate struct {
 		config  Config
 		mu      sync.Mutex
 		permits map[uint64]permit
 		loads   map[string]kernel.Load
-		// silent is what nodes that cannot be heard hold, by endpoint.
-		silent  map[string]silence
-		homes   map[string]adoption
-		adopted *kernel.View
-		// history and differences compare the counts with endpoints' reports.
-		history     map[string][]past
+		// unreachable is the work of unreachable nodes, by endpoint.
+		unreachable map[string]unreachableLoad
+		owned       map[string]ownership
+		ownedView   *kernel.View
+		// history and differences compare the gate's counts with endpoints'
+		// reports.
+		history     map[string][]sample
 		differences map[string]difference
-		heard       map[heardKey]heardSum
-		// learned is how much each endpoint finishes in time.
-		learned map[string]*concurrency
-		// gone is until when permits are not granted that were given back
-		// before they were asked for.
-		gone map[uint64]time.Time
+		ownerTotals map[totalKey]ownerTotal
+		// limits holds each endpoint's learned concurrency limit.
+		limits map[string]*concurrencyLimit
+		// tombstones holds the IDs of permits that were released before they were
+		// requested, and until when they are not granted.
+		tombstones map[uint64]time.Time
 	}
 
 	permit struct {
 		endpoint string
 		node     string
 		tokens   int
-		// lease is how long the permit was to count when it was granted.
+		// lease is the permit's lifetime at the time of the grant.
 		lease   time.Duration
 		expires time.Time
 		suspect int
-		// silent is set while the node cannot be heard.
-		silent bool
+		// unreachable is set while the node is unreachable.
+		unreachable bool
 	}
 )
 
@@ -142,22 +150,22 @@
 		config:      c,
 		permits:     map[uint64]permit{},
 		loads:       map[string]kernel.Load{},
-		silent:      map[string]silence{},
-		homes:       map[string]adoption{},
-		heard:       map[heardKey]heardSum{},
-		learned:     map[string]*concurrency{},
-		gone:        map[uint64]time.Time{},
-		history:     map[string][]past{},
+		unreachable: map[string]unreachableLoad{},
+		owned:       map[string]ownership{},
+		ownerTotals: map[totalKey]ownerTotal{},
+		limits:      map[string]*concurrencyLimit{},
+		tombstones:  map[uint64]time.Time{},
+		history:     map[string][]sample{},
 		differences: map[string]difference{},
 	}
 }
 
-// Admit answers an ask.
+// Admit decides on a permit request.
 func (g *Gate) Admit(now time.Time, a Ask) Verdict {
 	v := g.config.View()
-	// A process that wakes from a pause holds a view from before it, and would
-	// admit work to endpoints that have left or have another home by now. It is
-	// no home until it has heard what it missed.
+	// After a pause of the process its view is outdated: it would admit work to
+	// endpoints that have left or have another owner by now. It grants nothing
+	// until the view is up to date.
 	if !v.Fresh(now) {
 		return NotHome
 	}
@@ -173,32 +181,32 @@
 	if _, held := g.permits[a.ID]; held {
 		return Granted
 	}
-	if _, gone := g.gone[a.ID]; gone {
+	if _, released := g.tombstones[a.ID]; released {
 		return Full
 	}
-	g.adopt(v)
-	if a.Suspect > 0 && !g.takesSuspect(a) {
+	g.updateOwned(v)
+	if a.Suspect > 0 && !g.admitsSuspect(a) {
 		return Full
 	}
-	load, learned := g.running(now, a.Endpoint), g.concurrency(a.Endpoint)
-	if learned.late(now, a.Tokens, a.Lease-LeaseSlack) {
+	load, limit := g.effectiveLoad(now, a.Endpoint), g.limit(a.Endpoint)
+	if limit.tooLate(now, a.Tokens, a.Lease-LeaseSlack) {
 		return Late
 	}
-	if !learned.takes(load.Requests) {
+	if !limit.admits(load.Requests) {
 		return Full
 	}
 	rule := g.config.Rule
 	if a.Waited {
 		rule = g.config.Waited
 	}
-	if !rule.Fits(g.current(now, v, pool), load, a.Tokens, g.largest(pool)) {
+	if !rule.Fits(g.withCurrentTotal(now, v, pool), load, a.Tokens, g.largestRequest(pool)) {
 		return Full
 	}
 	g.hold(now, a)
 	return Granted
 }
 
-// Apply takes in a batch and answers it.
+// Apply processes a batch and returns the reply.
 func (g *Gate) Apply(now time.Time, b Batch) (r Reply) {
 	for _, r := range b.Returns {
 		g.Release(now, r)
@@ -215,14 +223,14 @@
 		verdict := g.Admit(now, a)
 		r.Verdicts = append(r.Verdicts, verdict)
 		if verdict == Full {
-			r.Loads = g.loadsBeside(a.Endpoint)
+			r.Loads = g.serviceLoads(a.Endpoint)
 		}
 	}
 	return r
 }
 
-// Declare takes in a permit that another home granted, whatever the load: its
-// request runs already.
+// Declare records a permit that another owner granted. The load does not matter, as
+// the request is already running.
 func (g *Gate) Declare(now time.Time, a Ask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,39 +239,40 @@
 	}
 }
 
-// Release gives a permit back.
+// Release releases a permit.
 //
-// Where an ask gets no answer in time, the node gives back what it may have
-// been granted, and that message may overtake the ask. The permit would then
-// count, held by nobody, until its lease ends: an idle endpoint would seem
-// loaded. A permit that was given back is therefore not granted later.
+// If a permit request gets no answer in time, the node releases the permit that it
+// may have been granted, and the release may overtake the request. A permit granted
+// after that would be held by nobody but count until its lease ends, and an idle
+// endpoint would seem loaded. A permit that was released is therefore not granted
+// later.
 func (g *Gate) Release(now time.Time, r Return) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, held := g.permits[r.ID]
 	if !held {
-		g.gone[r.ID] = now.Add(goneFor)
+		g.tombstones[r.ID] = now.Add(tombstoneTTL)
 		return
 	}
 	g.release(r.ID)
 	if r.Took > 0 {
-		g.concurrency(p.endpoint).learn(now, p, r.Took, g.loads[p.endpoint].Requests+1)
+		g.limit(p.endpoint).observe(now, p, r.Took, g.loads[p.endpoint].Requests+1)
 	}
 }
 
-// Expire drops the permits whose lease has ended or whose node is dead.
+// Expire removes the permits whose lease has ended or whose node is dead.
 //
-// A node that dies never gives its permits back; its endpoints would seem
-// loaded, the mean would be too high, and other endpoints would be filled beyond
-// their bound. Its streams end with it. Where it only cannot be heard, it may go
-// on: its permits count against the bound of their endpoints, and not in the
-// mean. Where nobody notices, the lease ends with the request's deadline, after
+// A dead node never releases its permits, and its streams end with it. Its
+// endpoints would seem loaded, the mean would be too high, and other endpoints
+// would be filled beyond their bound. A node that is only unreachable may go on:
+// its permits count against the bound of their endpoints, but not in the mean. If
+// the failure is not detected, the lease ends with the request's deadline, after
 // which the node would have stopped the request.
 func (g *Gate) Expire(now time.Time) {
 	v := g.config.View()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.gone, func(_ uint64, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(g.tombstones, func(_ uint64, until time.Time) bool { return now.After(until) })
 	for id, p := range g.permits {
 		n, known := v.Node(p.node)
 		known = known && n.State != kernel.Dead
@@ -271,23 +280,24 @@
 			g.release(id)
 			continue
 		}
-		if silent := n.State == kernel.Suspect; silent != p.silent {
+		if unreachable := n.State == kernel.Suspect; unreachable != p.unreachable {
 			g.count(p, -1)
-			p.silent = silent
+			p.unreachable = unreachable
 			g.permits[id] = p
 			g.count(p, 1)
-			g.hush(now, p)
+			g.resetReport(now, p)
 		}
 	}
 }
 
-// concurrency returns what is known of an endpoint. It is kept while the home is
-// elsewhere, in case it comes back, and forgotten when the endpoint is gone.
-func (g *Gate) concurrency(endpoint string) *concurrency {
-	c := g.learned[endpoint]
+// limit returns an endpoint's concurrency limit. It is kept while another node owns
+// the endpoint, in case ownership returns, and dropped when the endpoint is
+// removed.
+func (g *Gate) limit(endpoint string) *concurrencyLimit {
+	c := g.limits[endpoint]
 	if c == nil {
-		c = &concurrency{}
-		g.learned[endpoint] = c
+		c = &concurrencyLimit{}
+		g.limits[endpoint] = c
 	}
 	return c
 }
@@ -310,11 +320,11 @@
 	g.count(p, -1)
 }
 
-// count adds a permit to what its endpoint carries, or takes it away.
+// count adds a permit to its endpoint's load (sign 1) or subtracts it (sign -1).
 func (g *Gate) count(p permit, sign int) {
 	l := kernel.Load{Requests: sign, Tokens: sign * p.tokens}
-	if p.silent {
-		g.countSilent(p.endpoint, l)
+	if p.unreachable {
+		g.countUnreachable(p.endpoint, l)
 		return
 	}
 	g.loads[p.endpoint] = g.loads[p.endpoint].Add(l)
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -9,34 +9,34 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// returnDelay is how long a permit may wait for a message to its home that
-// goes there anyhow.
+// releaseDelay is how long a released permit waits for another message to its owner
+// to be sent with.
 const (
-	returnDelay = 4 * time.Millisecond
-	// maxReturns bounds what is kept for a home that cannot be reached. Its
-	// permits end with their leases.
-	maxReturns = 1 << 10
+	releaseDelay = 4 * time.Millisecond
+	// maxReleases bounds the releases queued for an owner that cannot be reached.
+	// Permits beyond it end with their leases.
+	maxReleases = 1 << 10
 )
 
 type (
-	// Holder keeps the permits that the node holds, at whichever homes, for as
-	// long as their requests run. It is safe for concurrent use.
+	// Holder tracks the permits of the node's running requests, from all owners. It
+	// is safe for concurrent use.
 	Holder struct {
-		mu      sync.Mutex
-		permits map[uint64]held
-		returns map[string]returns
-		// seen is the view by which permits were last moved to their homes.
-		seen *kernel.View
+		mu       sync.Mutex
+		permits  map[uint64]held
+		releases map[string]pendingReleases
+		// lastView is the view in which owners were last checked for changes.
+		lastView *kernel.View
 	}
 
-	// Send is a batch for a home.
+	// Send is a batch for an owner.
 	Send struct {
 		Home  string
 		Batch Batch
 	}
 
-	// returns is permits that wait to be given back to one home.
-	returns struct {
+	// pendingReleases lists permits that wait to be released at one owner.
+	pendingReleases struct {
 		since time.Time
 		list  []Return
 	}
@@ -44,7 +44,7 @@
 	held struct {
 		since       time.Time
 		endpoint    string
-		home        string
+		owner       string
 		incarnation uint64
 		tokens      int
 		expires     time.Time
@@ -53,48 +53,48 @@
 
 // NewHolder returns an empty Holder.
 func NewHolder() *Holder {
-	return &Holder{permits: map[uint64]held{}, returns: map[string]returns{}}
+	return &Holder{permits: map[uint64]held{}, releases: map[string]pendingReleases{}}
 }
 
-// Take notes a permit that the home of an endpoint granted.
-func (h *Holder) Take(now time.Time, v *kernel.View, home string, a Ask) {
-	n, _ := v.Node(home)
+// Take records a permit that the owner of an endpoint granted.
+func (h *Holder) Take(now time.Time, v *kernel.View, owner string, a Ask) {
+	n, _ := v.Node(owner)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.permits[a.ID] = held{
-		since: now, endpoint: a.Endpoint, home: home, incarnation: n.Incarnation,
+		since: now, endpoint: a.Endpoint, owner: owner, incarnation: n.Incarnation,
 		tokens: a.Tokens, expires: now.Add(a.Lease),
 	}
 }
 
-// Drop forgets a permit and queues it to be given back to its home. It returns
-// the home, "" where the permit is not held.
+// Drop removes a permit and queues its release. It returns the owner, or "" if the
+// permit is not held.
 func (h *Holder) Drop(now time.Time, id uint64) string {
 	return h.drop(now, id, true)
 }
 
-// Void forgets a permit whose request failed before its time, which says nothing
-// of how fast its endpoint is, and queues it to be given back.
+// Void is Drop for a request that failed early: how long it ran says nothing about
+// the speed of its endpoint and is not reported.
 func (h *Holder) Void(now time.Time, id uint64) string {
 	return h.drop(now, id, false)
 }
 
-// Return queues permits to be given back to a home that may have granted them.
-func (h *Holder) Return(now time.Time, home string, list ...Return) {
+// Return queues releases for an owner that may have granted the permits.
+func (h *Holder) Return(now time.Time, owner string, list ...Return) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range list {
-		h.giveBack(now, home, r)
+		h.queueRelease(now, owner, r)
 	}
 }
 
-// Returns takes the permits that wait to be given back to a home, for a message
-// that goes there anyhow.
-func (h *Holder) Returns(home string) []Return {
+// Returns removes and returns the releases queued for an owner, to be sent with
+// another message.
+func (h *Holder) Returns(owner string) []Return {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := h.returns[home].list
-	delete(h.returns, home)
+	list := h.releases[owner].list
+	delete(h.releases, owner)
 	return list
 }
 
@@ -127,60 +127,60 @@
 	return l
 }
 
-// Due returns what homes must hear by now: permits that have waited to be given
-// back, and permits whose endpoint has another home than the one that granted
-// them, or a home that has started anew since.
+// Due returns the batches to send now: releases whose delay has passed, and
+// declarations of permits whose endpoint has another owner than the one that
+// granted them, or whose owner has restarted since.
 //
-// A home knows only the permits that it granted itself. When an endpoint's home
-// changes, the new one would take the endpoint for idle and admit as much work
-// again. So every node tells the new home what it has in progress there.
+// An owner knows only the permits that it granted itself. After a change of owner
+// the new one would consider the endpoint idle and admit the same amount of work
+// again. So every node declares to the new owner what it has in progress there.
 func (h *Holder) Due(now time.Time, v *kernel.View) []Send {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	batches := map[string]*Batch{}
-	if v != h.seen {
-		h.seen = v
-		h.move(now, v, batches)
+	if v != h.lastView {
+		h.lastView = v
+		h.redeclare(now, v, batches)
 	}
-	for home, r := range h.returns {
-		if batches[home] == nil && now.Sub(r.since) < returnDelay {
+	for owner, r := range h.releases {
+		if batches[owner] == nil && now.Sub(r.since) < releaseDelay {
 			continue
 		}
-		if batches[home] == nil {
-			batches[home] = &Batch{}
+		if batches[owner] == nil {
+			batches[owner] = &Batch{}
 		}
-		batches[home].Returns = r.list
-		delete(h.returns, home)
+		batches[owner].Returns = r.list
+		delete(h.releases, owner)
 	}
 	sends := make([]Send, 0, len(batches))
-	for _, home := range slices.Sorted(maps.Keys(batches)) {
-		sends = append(sends, Send{Home: home, Batch: *batches[home]})
+	for _, owner := range slices.Sorted(maps.Keys(batches)) {
+		sends = append(sends, Send{Home: owner, Batch: *batches[owner]})
 	}
 	return sends
 }
 
-func (h *Holder) move(now time.Time, v *kernel.View, batches map[string]*Batch) {
+func (h *Holder) redeclare(now time.Time, v *kernel.View, batches map[string]*Batch) {
 	for _, id := range slices.Sorted(maps.Keys(h.permits)) {
 		p := h.permits[id]
-		home, known := homeOf(v, p.endpoint)
+		owner, known := ownerOf(v, p.endpoint)
 		if now.After(p.expires) {
 			delete(h.permits, id)
 			continue
 		}
-		if !known || home == (homeKey{p.home, p.incarnation}) {
+		if !known || owner == (ownerKey{p.owner, p.incarnation}) {
 			continue
 		}
-		if p.home != home.name {
-			h.giveBack(now, p.home, Return{ID: id})
+		if p.owner != owner.name {
+			h.queueRelease(now, p.owner, Return{ID: id})
 		}
-		if batches[home.name] == nil {
-			batches[home.name] = &Batch{}
+		if batches[owner.name] == nil {
+			batches[owner.name] = &Batch{}
 		}
-		b := batches[home.name]
+		b := batches[owner.name]
 		b.Declares = append(b.Declares, Ask{
 			ID: id, Endpoint: p.endpoint, Node: v.Self.Name, Tokens: p.tokens, Lease: p.expires.Sub(now),
 		})
-		p.home, p.incarnation = home.name, home.incarnation
+		p.owner, p.incarnation = owner.name, owner.incarnation
 		h.permits[id] = p
 	}
 }
@@ -197,33 +197,33 @@
 	if ran {
 		r.Took = now.Sub(p.since)
 	}
-	h.giveBack(now, p.home, r)
-	return p.home
+	h.queueRelease(now, p.owner, r)
+	return p.owner
 }
 
-func (h *Holder) giveBack(now time.Time, home string, back Return) {
-	r := h.returns[home]
-	if len(r.list) >= maxReturns {
+func (h *Holder) queueRelease(now time.Time, owner string, item Return) {
+	r := h.releases[owner]
+	if len(r.list) >= maxReleases {
 		return
 	}
 	if len(r.list) == 0 {
 		r.since = now
 	}
-	r.list = append(r.list, back)
-	h.returns[home] = r
+	r.list = append(r.list, item)
+	h.releases[owner] = r
 }
 
-type homeKey struct {
+type ownerKey struct {
 	name        string
 	incarnation uint64
 }
 
-// homeOf returns the home of an endpoint.
-func homeOf(v *kernel.View, endpoint string) (homeKey, bool) {
+// ownerOf returns the owner of an endpoint.
+func ownerOf(v *kernel.View, endpoint string) (ownerKey, bool) {
 	e, _, ok := find(v, endpoint)
 	if !ok {
-		return homeKey{}, false
+		return ownerKey{}, false
 	}
 	n, ok := v.Node(e.Home)
-	return homeKey{n.Name, n.Incarnation}, ok
+	return ownerKey{n.Name, n.Incarnation}, ok
 }
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -13,10 +13,10 @@
 
 var start = time.Unix(1000, 0)
 
-// two returns a view of one service at nodes n1 and n2, whose endpoint w1 has
-// the given home and load.
-func two(self, home string, load int) *kernel.View {
-	e1 := kernel.Endpoint{Name: "w1", Service: "s", Home: home, Load: kernel.Load{Requests: load}}
+// twoNodes returns a view of one service at nodes n1 and n2, whose endpoint w1 has
+// the given owner and load.
+func twoNodes(self, owner string, load int) *kernel.View {
+	e1 := kernel.Endpoint{Name: "w1", Service: "s", Home: owner, Load: kernel.Load{Requests: load}}
 	e2 := kernel.Endpoint{Name: "w2", Service: "s", Home: "n2", Load: kernel.Load{Requests: load}}
 	return &kernel.View{
 		At:    start,
@@ -42,59 +42,62 @@
 	return kernel.Load{}
 }
 
-// Guards against this failure: after a node joined or died, engines ran at twice the bound.
-func TestNewHomeHearsOfPermits(t *testing.T) {
+// Guards against engines at twice the bound after a node joined or died, because a
+// new owner does not know the permits that the previous one granted.
+func TestPermitsAreDeclaredToNewOwner(t *testing.T) {
 	h := gate.NewHolder()
-	before := two("n1", "n1", 0)
+	before := twoNodes("n1", "n1", 0)
 	h.Take(start, before, "n1", ask(1))
 	require.Empty(t, h.Due(start, before))
 
-	after := two("n1", "n2", 0)
+	after := twoNodes("n1", "n2", 0)
 	sends := h.Due(start, after)
 	require.Len(t, sends, 1)
 	require.Equal(t, "n2", sends[0].Home)
 	require.Equal(t, uint64(1), sends[0].Batch.Declares[0].ID)
 
-	v := two("n2", "n2", 0)
-	home := gate.New(gate.Config{View: func() *kernel.View { return v }})
-	home.Apply(start, sends[0].Batch)
-	home.Apply(start, sends[0].Batch)
-	require.Equal(t, 1, loadOf(home, "w1").Requests)
+	v := twoNodes("n2", "n2", 0)
+	owner := gate.New(gate.Config{View: func() *kernel.View { return v }})
+	owner.Apply(start, sends[0].Batch)
+	owner.Apply(start, sends[0].Batch)
+	require.Equal(t, 1, loadOf(owner, "w1").Requests)
 
 	require.Equal(t, "n2", h.Drop(start, 1))
-	home.Apply(start, gate.Batch{Returns: h.Returns("n2")})
-	require.Zero(t, loadOf(home, "w1").Requests)
+	owner.Apply(start, gate.Batch{Returns: h.Returns("n2")})
+	require.Zero(t, loadOf(owner, "w1").Requests)
 }
 
-// Guards against this failure: an endpoint was flooded in the second in which its home changed.
-func TestNewHomeKeepsTheLoadLastHeardOf(t *testing.T) {
-	v := two("n1", "n2", 7)
+// Guards against an endpoint that is flooded in the second in which its owner
+// changes, because the new owner considers it idle.
+func TestNewOwnerKeepsLastReportedLoad(t *testing.T) {
+	v := twoNodes("n1", "n2", 7)
 	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
 	require.Empty(t, g.Loads())
-	v = two("n1", "n1", 7)
+	v = twoNodes("n1", "n1", 7)
 	require.Equal(t, 7, loadOf(g, "w1").Requests)
-	v = two("n1", "n1", 7)
+	v = twoNodes("n1", "n1", 7)
 	v.At = start.Add(time.Minute)
 	require.Zero(t, loadOf(g, "w1").Requests)
 }
 
-// Guards against this failure: for seconds after a node died, engines were filled beyond the
-// bound.
-func TestSilentNodeHoldsNothing(t *testing.T) {
-	v := two("n2", "n2", 0)
+// Guards against engines filled beyond the bound for seconds after a node died,
+// because its permits keep the mean load too high.
+func TestUnreachableNodeIsNotInReportedLoad(t *testing.T) {
+	v := twoNodes("n2", "n2", 0)
 	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
 	require.Equal(t, gate.Granted, g.Admit(start, ask(1)))
 	g.Expire(start)
 	require.Equal(t, 1, loadOf(g, "w1").Requests)
-	v = two("n2", "n2", 0)
+	v = twoNodes("n2", "n2", 0)
 	v.Nodes[0].State = kernel.Suspect
 	g.Expire(start)
 	require.Zero(t, loadOf(g, "w1").Requests)
 }
 
-// Guards against this failure: endpoints carried far more tokens than the bound allows.
-func TestReportCorrectsTheCount(t *testing.T) {
-	v := two("n1", "n1", 0)
+// Guards against endpoints that carry far more tokens than the bound allows,
+// because requests turn out larger than their permits say.
+func TestEndpointReportCorrectsLoad(t *testing.T) {
+	v := twoNodes("n1", "n1", 0)
 	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
 	for i := range 3 {
 		require.Equal(t, gate.Granted, g.Admit(start, ask(uint64(i)+1)))
@@ -102,7 +105,7 @@
 	require.Equal(t, 30, loadOf(g, "w1").Tokens)
 	later := start.Add(1100 * time.Millisecond)
 	g.Reported(later, "w1", kernel.Load{Requests: 3, Tokens: 1030})
-	v = two("n1", "n1", 0)
+	v = twoNodes("n1", "n1", 0)
 	v.At = later
 	require.Equal(t, kernel.Load{Requests: 3, Tokens: 530}, loadOf(g, "w1"))
 }
@@ -133,9 +136,10 @@
 	}
 }
 
-// Guards against this failure: requests waited until their deadlines before engines with room.
-func TestEvenPoolGrowsIntoItsDemand(t *testing.T) {
-	v := two("n1", "n1", 7)
+// Guards against requests that wait until their deadlines although engines have
+// room, because the margin denies every request in an evenly loaded pool.
+func TestEvenlyLoadedPoolCanGrow(t *testing.T) {
+	v := twoNodes("n1", "n1", 7)
 	v.Pools["s"].Endpoints[1].Load = kernel.Load{Requests: 6, Tokens: 60}
 	v.Pools["s"].Total = kernel.Load{Requests: 13, Tokens: 60}
 	v.Pools["s"].Bound = 1.25
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -7,16 +7,15 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// Loads returns the load of each endpoint whose home the node is, sorted by
-// name.
+// Loads returns the load of each endpoint that the node owns, sorted by name.
 func (g *Gate) Loads() []kernel.EndpointLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.config.View()
-	g.adopt(v)
-	g.remember(v.At)
-	loads := make([]kernel.EndpointLoad, 0, len(g.homes))
-	for name := range g.homes {
+	g.updateOwned(v)
+	g.recordHistory(v.At)
+	loads := make([]kernel.EndpointLoad, 0, len(g.owned))
+	for name := range g.owned {
 		loads = append(loads, kernel.EndpointLoad{Endpoint: name, Load: g.load(v.At, name)})
 	}
 	slices.SortFunc(loads, func(a, b kernel.EndpointLoad) int {
@@ -25,30 +24,32 @@
 	return loads
 }
 
-// loadsBeside returns the loads of the node's endpoints of the same service.
-func (g *Gate) loadsBeside(endpoint string) []kernel.EndpointLoad {
+// serviceLoads returns the loads of the endpoints that the node owns, of the
+// service that the given endpoint belongs to.
+func (g *Gate) serviceLoads(endpoint string) []kernel.EndpointLoad {
 	_, pool, ok := find(g.config.View(), endpoint)
 	if !ok {
 		return nil
 	}
 	return slices.DeleteFunc(g.Loads(), func(l kernel.EndpointLoad) bool {
-		_, beside := pool.Endpoint(l.Endpoint)
-		return !beside
+		_, same := pool.Endpoint(l.Endpoint)
+		return !same
 	})
 }
 
-// largest is the most tokens of a permit held for an endpoint of the pool.
-func (g *Gate) largest(p *kernel.Pool) int {
-	most := 0
+// largestRequest returns the largest token count of the permits for endpoints of
+// the pool.
+func (g *Gate) largestRequest(p *kernel.Pool) int {
+	largest := 0
 	for _, held := range g.permits {
-		if held.tokens <= most {
+		if held.tokens <= largest {
 			continue
 		}
 		if _, ok := p.Endpoint(held.endpoint); ok {
-			most = held.tokens
+			largest = held.tokens
 		}
 	}
-	return most
+	return largest
 }
 
 func find(v *kernel.View, name string) (kernel.Endpoint, *kernel.Pool, bool) {
--- a/internal/gate/overload_test.go
+++ b/internal/gate/overload_test.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	engineBatch   = 2
-	engineService = 50 * time.Millisecond
-	allowed       = 300 * time.Millisecond
-	retryPause    = 20 * time.Millisecond
-	requestTokens = 50
+	engineBatch    = 2
+	serviceTime    = 50 * time.Millisecond
+	requestTimeout = 300 * time.Millisecond
+	retryPause     = 20 * time.Millisecond
+	requestTokens  = 50
 )
 
 type (
-	// waiting is a request on its way: first at the node, then in the engine.
-	waiting struct {
-		id       uint64
-		deadline time.Time
-		next     time.Time
-		began    time.Time
-		ends     time.Time
+	// simRequest is a request that waits at the node and then in the engine.
+	simRequest struct {
+		id        uint64
+		deadline  time.Time
+		nextTry   time.Time
+		startedAt time.Time
+		endsAt    time.Time
 	}
 
-	// pressed is one engine under overload before a real gate.
-	pressed struct {
-		gate    *gate.Gate
-		view    *kernel.View
-		now     time.Time
-		random  *rand.Rand
-		serial  uint64
-		outside []waiting
-		engine  []waiting
-		whole   int
-		wasted  int
-		refused int
+	// overload simulates one engine under overload behind a real gate.
+	overload struct {
+		gate      *gate.Gate
+		view      *kernel.View
+		now       time.Time
+		random    *rand.Rand
+		lastID    uint64
+		queued    []simRequest
+		engine    []simRequest
+		completed int
+		wasted    int
+		refused   int
 	}
 )
 
-func newPressed() *pressed {
+func newOverload() *overload {
 	v := &kernel.View{Self: kernel.Node{Name: "n1"}, Pools: map[string]*kernel.Pool{}}
 	e := kernel.Endpoint{Name: "w1", Service: "s", Home: "n1"}
 	v.Nodes = []kernel.Node{v.Self}
 	v.Pools["s"] = &kernel.Pool{Service: manifest.Service{Name: "s"}, Bound: 100, Endpoints: []kernel.Endpoint{e}, Live: 1}
-	return &pressed{
+	return &overload{
 		gate:   gate.New(gate.Config{View: func() *kernel.View { return v }}),
 		view:   v,
 		now:    time.Unix(0, 0),
@@ -59,67 +59,67 @@
 	}
 }
 
-// run presses the engine with callers that ask again at once when a request
-// ends, for a time.
-func (p *pressed) run(callers int, span time.Duration) {
+// run loads the engine for a time with callers that send the next request as soon
+// as one ends.
+func (p *overload) run(callers int, span time.Duration) {
 	end := p.now.Add(span)
 	for ; p.now.Before(end); p.now = p.now.Add(time.Millisecond) {
-		// The kernel publishes its view again at each tick.
+		// The kernel publishes a new view at each tick.
 		p.view.At = p.now
-		for len(p.outside)+len(p.engine) < callers {
-			p.serial++
-			p.outside = append(p.outside, waiting{id: p.serial, deadline: p.now.Add(allowed), next: p.now})
+		for len(p.queued)+len(p.engine) < callers {
+			p.lastID++
+			p.queued = append(p.queued, simRequest{id: p.lastID, deadline: p.now.Add(requestTimeout), nextTry: p.now})
 		}
 		p.admit()
 		p.serve()
 	}
 }
 
-func (p *pressed) admit() {
-	p.random.Shuffle(len(p.outside), func(i, j int) { p.outside[i], p.outside[j] = p.outside[j], p.outside[i] })
-	p.outside = slices.DeleteFunc(p.outside, func(w waiting) bool { return !w.deadline.After(p.now) && p.refuse() })
-	var left []waiting
-	for _, w := range p.outside {
-		if w.next.After(p.now) {
+func (p *overload) admit() {
+	p.random.Shuffle(len(p.queued), func(i, j int) { p.queued[i], p.queued[j] = p.queued[j], p.queued[i] })
+	p.queued = slices.DeleteFunc(p.queued, func(w simRequest) bool { return !w.deadline.After(p.now) && p.refuse() })
+	var left []simRequest
+	for _, w := range p.queued {
+		if w.nextTry.After(p.now) {
 			left = append(left, w)
 			continue
 		}
 		a := gate.Ask{ID: w.id, Endpoint: "w1", Tokens: requestTokens, Lease: w.deadline.Sub(p.now) + gate.LeaseSlack}
 		switch p.gate.Admit(p.now, a) {
 		case gate.Granted:
-			w.began = p.now
+			w.startedAt = p.now
 			p.engine = append(p.engine, w)
 		case gate.Late:
 			p.refuse()
 		default:
-			w.next = p.now.Add(retryPause)
+			w.nextTry = p.now.Add(retryPause)
 			left = append(left, w)
 		}
 	}
-	p.outside = left
+	p.queued = left
 }
 
-func (p *pressed) refuse() bool {
+func (p *overload) refuse() bool {
 	p.refused++
 	return true
 }
 
-// serve lets the engine run the first requests of its queue.
-func (p *pressed) serve() {
+// serve runs the first requests of the engine's queue.
+func (p *overload) serve() {
 	for i := range min(engineBatch, len(p.engine)) {
-		if p.engine[i].ends.IsZero() {
-			p.engine[i].ends = p.now.Add(engineService)
+		if p.engine[i].endsAt.IsZero() {
+			p.engine[i].endsAt = p.now.Add(serviceTime)
 		}
 	}
-	p.engine = slices.DeleteFunc(p.engine, func(w waiting) bool {
-		done := !w.ends.IsZero() && !p.now.Before(w.ends)
+	p.engine = slices.DeleteFunc(p.engine, func(w simRequest) bool {
+		done := !w.endsAt.IsZero() && !p.now.Before(w.endsAt)
 		late := !p.now.Before(w.deadline)
 		if !done && !late {
 			return false
 		}
-		p.gate.Release(p.now, gate.Return{ID: w.id, Took: p.now.Sub(w.began)})
+		p.gate.Release(p.now, gate.Return{ID: w.id, Took: p.now.Sub(w.startedAt)})
 		if done {
-			p.whole++
+			p.completed++
 		} else {
 			p.wasted++
 		}
@@ -127,30 +127,30 @@
 	})
 }
 
-// Guards against this failure: under ten times the load an engine is busy with requests that
-// end too late, and hardly one is answered.
-func TestOverloadedEngineStillAnswers(t *testing.T) {
+// Guards against an engine that, at ten times its capacity, is busy with requests
+// that end after their deadlines and answers hardly any.
+func TestOverloadedEngineKeepsGoodput(t *testing.T) {
 	const (
-		able    = float64(engineBatch) * float64(time.Second) / float64(engineService)
-		callers = 10 * int(able) * int(allowed/time.Millisecond) / 1000
-		seconds = 30
+		capacity = float64(engineBatch) * float64(time.Second) / float64(serviceTime)
+		callers  = 10 * int(capacity) * int(requestTimeout/time.Millisecond) / 1000
+		seconds  = 30
 	)
-	p := newPressed()
+	p := newOverload()
 	p.run(callers, seconds*time.Second)
-	share := float64(p.whole) / able / seconds
-	t.Logf("%d callers: goodput %.0f%% of capacity; %d whole, %d wasted, %d refused", callers, 100*share, p.whole, p.wasted, p.refused)
+	share := float64(p.completed) / capacity / seconds
+	t.Logf("%d callers: goodput %.0f%% of capacity; %d whole, %d wasted, %d refused", callers, 100*share, p.completed, p.wasted, p.refused)
 	require.Greater(t, share, 0.8)
-	require.Less(t, p.wasted, p.whole/2)
+	require.Less(t, p.wasted, p.completed/2)
 
 	before := p.refused + p.wasted
 	p.run(engineBatch, 10*time.Second)
-	require.Less(t, p.refused+p.wasted-before, callers+1, "the surge leaves nothing behind")
+	require.Less(t, p.refused+p.wasted-before, callers+1, "the overload has no lasting effect")
 }
 
-// Guards against this failure: an idle endpoint seems loaded until a lease ends, and requests
-// wait.
-func TestPermitGivenBackBeforeItIsAskedForIsNotGranted(t *testing.T) {
-	p := newPressed()
+// Guards against an idle endpoint that seems loaded until a lease ends, while
+// requests wait, because a release overtook its permit request.
+func TestPermitReleasedBeforeRequestIsNotGranted(t *testing.T) {
+	p := newOverload()
 	p.run(0, time.Millisecond)
 	a := gate.Ask{ID: 9, Endpoint: "w1", Tokens: 1, Lease: time.Minute}
 	p.gate.Release(p.now, gate.Return{ID: a.ID})
--- a/internal/gate/report.go
+++ b/internal/gate/report.go
@@ -7,39 +7,38 @@
 )
 
 const (
-	// reportLag is how old the loads are that endpoints report.
+	// reportLag is the age of the loads in endpoints' reports.
 	reportLag = time.Second
-	// reportShare is the part of a reported difference that still counts: some
-	// of the requests that made it have ended since.
-	reportShare = 0.5
-	// reportTime is how long a reported difference counts.
-	reportTime = 2 * time.Second
-	// historySteps is how many past loads are kept of an endpoint, one for
-	// each Loads.
+	// reportWeight is the fraction of a reported difference that still counts, as
+	// some of the requests that caused it have ended since.
+	reportWeight = 0.5
+	// reportTTL is how long a reported difference counts.
+	reportTTL = 2 * time.Second
+	// historySteps is the number of past loads kept per endpoint, one per call of
+	// Loads.
 	historySteps = 32
 )
 
 type (
-	// past is what a home counted as an endpoint's load at some time.
-	past struct {
+	// sample is the load that an owner counted for an endpoint at some time.
+	sample struct {
 		at   time.Time
 		load kernel.Load
 	}
 
-	// difference is by how much the work at an endpoint was more than the
-	// home's count of it.
+	// difference is the load that an endpoint reported minus the owner's count.
 	difference struct {
 		at   time.Time
 		load kernel.Load
 	}
 )
 
-// Reported takes in an endpoint's own report of its load.
+// Reported processes an endpoint's own report of its load.
 //
-// The home counts a request by what was expected of it. Where chats' prefixes
-// turn out to be gone, or answers long, an endpoint carries far more than its
-// permits say, and nothing else would tell. The report does, late: it is
-// compared with what the home counted at the time it speaks of.
+// The owner counts a request by its estimated size. If cached prefixes of chats
+// turn out to be evicted, or answers are long, an endpoint carries far more than
+// its permits say, and only its report shows it. As reports lag, each is compared
+// with the owner's count at the time that it describes.
 func (g *Gate) Reported(now time.Time, endpoint string, l kernel.Load) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,23 +47,23 @@
 	for i := len(history) - 1; i >= 0; i-- {
 		if !history[i].at.After(then) {
 			counted := history[i].load
-			beyond := kernel.Load{Requests: l.Requests - counted.Requests, Tokens: l.Tokens - counted.Tokens}
-			g.differences[endpoint] = difference{at: now, load: beyond}
-			g.confirm(endpoint, then, beyond)
+			excess := kernel.Load{Requests: l.Requests - counted.Requests, Tokens: l.Tokens - counted.Tokens}
+			g.differences[endpoint] = difference{at: now, load: excess}
+			g.confirmUnreachable(endpoint, then, excess)
 			return
 		}
 	}
 }
 
-// remember keeps what the node counts as the load of its endpoints.
-func (g *Gate) remember(now time.Time) {
+// recordHistory records the current count for each endpoint that the node owns.
+func (g *Gate) recordHistory(now time.Time) {
 	for name := range g.history {
-		if _, home := g.homes[name]; !home {
+		if _, owned := g.owned[name]; !owned {
 			delete(g.history, name)
 			delete(g.differences, name)
 		}
 	}
-	for name := range g.homes {
+	for name := range g.owned {
 		h := g.history[name]
 		if n := len(h); n > 0 && !now.After(h[n-1].at) {
 			continue
@@ -72,21 +71,21 @@
 		if len(h) >= historySteps {
 			h = h[1:]
 		}
-		g.history[name] = append(h, past{at: now, load: g.loads[name]})
+		g.history[name] = append(h, sample{at: now, load: g.loads[name]})
 	}
 }
 
-// hidden returns what an endpoint carries beyond the home's count; it is below
-// zero where permits outlive their requests. One request more or less is due to
-// messages under way.
-func (g *Gate) hidden(now time.Time, endpoint string) kernel.Load {
+// correction returns by how much an endpoint's load exceeds the owner's count; it
+// is negative if permits outlive their requests. A difference of one request is
+// ignored, as it is due to messages under way.
+func (g *Gate) correction(now time.Time, endpoint string) kernel.Load {
 	d, ok := g.differences[endpoint]
-	if !ok || now.Sub(d.at) > reportTime {
+	if !ok || now.Sub(d.at) > reportTTL {
 		return kernel.Load{}
 	}
-	l := kernel.Load{Tokens: int(reportShare * float64(d.load.Tokens))}
+	l := kernel.Load{Tokens: int(reportWeight * float64(d.load.Tokens))}
 	if d.load.Requests < -1 || d.load.Requests > 1 {
-		l.Requests = int(reportShare * float64(d.load.Requests))
+		l.Requests = int(reportWeight * float64(d.load.Requests))
 	}
 	return l
 }
--- a/internal/gate/suspect.go
+++ b/internal/gate/suspect.go
@@ -1,21 +1,23 @@
 package gate
 
 const (
-	// maxSuspects is how many requests that ran on one dying endpoint an
-	// endpoint runs at a time.
+	// maxSuspects is how many requests that were running on one endpoint that died
+	// may run at the same endpoint at a time.
 	maxSuspects = 4
-	// aloneAfter is how many deaths make a request run alone among suspects.
+	// aloneAfter is the number of deaths from which a request runs at an endpoint
+	// without other suspects.
 	aloneAfter = 2
 )
 
-// takesSuspect reports whether an endpoint may run one more suspected request.
+// admitsSuspect reports whether an endpoint may run one more suspected request.
 //
-// An endpoint that dies makes suspects of all that it ran. Were they to meet
-// again, the innocent ones would be counted with the cause each time and be
-// isolated with it. A request under strong suspicion therefore runs where no
-// other suspect does: if the endpoint dies, nobody else is taken for the cause.
-func (g *Gate) takesSuspect(a Ask) bool {
-	together := 0
+// When an endpoint dies, all requests that it ran become suspects. If they ran
+// together again, the innocent ones would be counted along with the cause each time
+// and be isolated with it. A strongly suspected request therefore runs where no
+// other suspect does: if the endpoint dies, no other request is suspected in its
+// place.
+func (g *Gate) admitsSuspect(a Ask) bool {
+	suspects := 0
 	for _, p := range g.permits {
 		if p.endpoint != a.Endpoint || p.suspect == 0 {
 			continue
@@ -23,7 +25,7 @@
 		if p.suspect >= aloneAfter || a.Suspect >= aloneAfter {
 			return false
 		}
-		together++
+		suspects++
 	}
-	return together < maxSuspects
+	return suspects < maxSuspects
 }
--- a/internal/gate/suspect_test.go
+++ b/internal/gate/suspect_test.go
@@ -9,9 +9,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 )
 
-// Guards against this failure: innocent requests are isolated together with the one that
+// Guards against innocent requests that are isolated together with the one that
 // crashes endpoints.
-func TestStrongSuspectRunsAloneAmongSuspects(t *testing.T) {
+func TestStrongSuspectRunsWithoutOtherSuspects(t *testing.T) {
 	cases := []struct {
 		name string
 		held []int
@@ -28,7 +28,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPressed()
+			p := newOverload()
 			p.view.At = p.now
 			ask := gate.Ask{Endpoint: "w1", Lease: time.Minute}
 			for i, suspect := range c.held {
--- a/internal/gate/silence_test.go
+++ b/internal/gate/unreachable_test.go
@@ -10,29 +10,30 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// Guards against an endpoint over its bound because its home forgets what a node runs there
-// that it cannot hear.
-func TestSilentNodeCountsAgainstTheBound(t *testing.T) {
+// Guards against an endpoint over its bound because its owner does not count what
+// an unreachable node still runs there.
+func TestUnreachableNodeCountsAgainstBound(t *testing.T) {
 	const bound = 3
 	tests := map[string]struct {
 		state kernel.State
-		// reported is what the endpoint says that it runs; -1 for no report.
+		// reported is the number of requests that the endpoint reports; -1 for no
+		// report.
 		reported int
-		// after is how long after the silence it speaks.
+		// after is the time from the node becoming unreachable to the report.
 		after time.Duration
 		want  int
 	}{
-		"heard":                 {kernel.Live, -1, 0, 0},
-		"silent":                {kernel.Suspect, -1, 0, 0},
-		"silent, all runs":      {kernel.Suspect, bound, 1500 * time.Millisecond, 0},
-		"silent, one has ended": {kernel.Suspect, bound - 1, 1500 * time.Millisecond, 1},
-		"silent, all ended":     {kernel.Suspect, 0, 1500 * time.Millisecond, bound},
-		"silent, old report":    {kernel.Suspect, 0, 500 * time.Millisecond, 0},
-		"dead":                  {kernel.Dead, -1, 0, bound},
+		"reachable":                {kernel.Live, -1, 0, 0},
+		"unreachable":              {kernel.Suspect, -1, 0, 0},
+		"unreachable, all running": {kernel.Suspect, bound, 1500 * time.Millisecond, 0},
+		"unreachable, one ended":   {kernel.Suspect, bound - 1, 1500 * time.Millisecond, 1},
+		"unreachable, all ended":   {kernel.Suspect, 0, 1500 * time.Millisecond, bound},
+		"unreachable, old report":  {kernel.Suspect, 0, 500 * time.Millisecond, 0},
+		"dead":                     {kernel.Dead, -1, 0, bound},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			v := two("n2", "n2", 0)
+			v := twoNodes("n2", "n2", 0)
 			g := gate.New(gate.Config{View: func() *kernel.View { return v }})
 			now, id := start, uint64(0)
 			grants := func(node string) (granted int) {
@@ -59,9 +60,10 @@
 	}
 }
 
-// Guards against permits that count twice, or not at all, once their node is heard again.
-func TestNodeThatIsHeardAgainHoldsWhatItHeld(t *testing.T) {
-	v := two("n2", "n2", 0)
+// Guards against permits that count twice, or not at all, once their node is
+// reachable again.
+func TestReachableAgainNodeKeepsPermits(t *testing.T) {
+	v := twoNodes("n2", "n2", 0)
 	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
 	require.Equal(t, gate.Granted, g.Admit(start, ask(1)))
 	require.Equal(t, gate.Granted, g.Admit(start, ask(2)))
