--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -38,14 +38,14 @@
 		View func() *kernel.View
 		// Rule bounds the endpoints' loads; nil is NewBoundRule.
 		Rule Rule
-		// Waited is the Rule for requests that other owners have denied before; nil
+		// RetryRule is the Rule for requests that other owners have denied before; nil
 		// is the whole bound, or Rule if that is set.
 		//
 		// The margin of Rule keeps loads even while other endpoints have room. If
 		// hardly any has, it would keep the fleet from following its demand: the
 		// mean cannot rise because nothing is admitted above it, and nothing is
 		// admitted because the mean does not rise.
-		Waited Rule
+		RetryRule Rule
 	}
 
 	// Verdict is the answer to a permit request.
@@ -137,11 +137,11 @@
 
 // New returns an empty Gate.
 func New(c Config) *Gate {
-	if c.Waited == nil {
-		c.Waited = c.Rule
+	if c.RetryRule == nil {
+		c.RetryRule = c.Rule
 	}
-	if c.Waited == nil {
-		c.Waited = BoundRule{Margin: 1}
+	if c.RetryRule == nil {
+		c.RetryRule = BoundRule{Margin: 1}
 	}
 	if c.Rule == nil {
 		c.Rule = NewBoundRule()
@@ -197,7 +197,7 @@
 	}
 	rule := g.config.Rule
 	if a.Waited {
-		rule = g.config.Waited
+		rule = g.config.RetryRule
 	}
 	if !rule.Fits(g.withCurrentTotal(now, v, pool), load, a.Tokens, g.largestRequest(pool)) {
 		return Full
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -29,8 +29,8 @@
 		lastView *kernel.View
 	}
 
-	// Send is a batch for an owner.
-	Send struct {
+	// OwnerBatch is a batch for an owner.
+	OwnerBatch struct {
 		Home  string
 		Batch Batch
 	}
@@ -134,7 +134,7 @@
 // An owner knows only the permits that it granted itself. After a change of owner
 // the new one would consider the endpoint idle and admit the same amount of work
 // again. So every node declares to the new owner what it has in progress there.
-func (h *Holder) Due(now time.Time, v *kernel.View) []Send {
+func (h *Holder) Due(now time.Time, v *kernel.View) []OwnerBatch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	batches := map[string]*Batch{}
@@ -152,9 +152,9 @@
 		batches[owner].Returns = r.list
 		delete(h.releases, owner)
 	}
-	sends := make([]Send, 0, len(batches))
+	sends := make([]OwnerBatch, 0, len(batches))
 	for _, owner := range slices.Sorted(maps.Keys(batches)) {
-		sends = append(sends, Send{Home: owner, Batch: *batches[owner]})
+		sends = append(sends, OwnerBatch{Home: owner, Batch: *batches[owner]})
 	}
 	return sends
 }
