--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,7 +16,7 @@
 
 var models = []string{"large", "small"}
 
-// node is a kernel alone in its fleet, with endpoints that obey.
+// node is a kernel alone in its fleet, with endpoints that carry out orders.
 type node struct {
 	*kernel.Kernel
 	now    time.Time
@@ -57,8 +57,8 @@
 	}})
 }
 
-// run lets time pass. Endpoints report each second and obey orders whose number
-// is high enough.
+// run advances time. Endpoints report each second and carry out orders whose
+// fencing number is high enough.
 func (n *node) run(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); {
 		n.now = n.now.Add(kernel.DefaultTick)
@@ -67,7 +67,7 @@
 		}
 		for _, a := range n.Step(n.now, kernel.Tick{}) {
 			if o, ok := a.(kernel.Order); ok {
-				n.obey(o)
+				n.applyOrder(o)
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (n *node) obey(o kernel.Order) {
+func (n *node) applyOrder(o kernel.Order) {
 	n.orders = append(n.orders, o)
 	accepted := o.Fence > n.fences[o.Endpoint]
 	if accepted {
@@ -97,7 +97,7 @@
 	n.Step(n.now, kernel.OrderEnded{Endpoint: o.Endpoint, Accepted: accepted, Fence: n.fences[o.Endpoint]})
 }
 
-func (n *node) with(model string) int {
+func (n *node) countLoaded(model string) int {
 	count := 0
 	for _, loaded := range n.loaded {
 		if loaded[0] == model {
@@ -111,7 +111,7 @@
 	n := newNode(1)
 	n.demand = map[string]int{"large": 500, "small": 500}
 	n.run(time.Minute)
-	require.Equal(t, 4, n.with("small"))
+	require.Equal(t, 4, n.countLoaded("small"))
 	settled := len(n.orders)
 	// A short peak changes nothing.
 	n.demand["small"] = 1500
@@ -119,20 +119,20 @@
 	n.demand["small"] = 500
 	n.run(2 * time.Minute)
 	require.Len(t, n.orders, settled)
-	// A lasting one moves two endpoints and no other.
+	// A lasting peak moves two endpoints and no others.
 	n.demand["small"] = 1500
 	n.run(5 * time.Minute)
-	require.Equal(t, 6, n.with("small"))
+	require.Equal(t, 6, n.countLoaded("small"))
 	require.Len(t, n.orders, settled+2)
-	// Nobody asks for a model: it keeps one endpoint.
+	// A model without demand keeps one endpoint.
 	n.demand = map[string]int{"small": 1000}
 	n.run(10 * time.Minute)
-	require.Equal(t, 1, n.with("large"))
+	require.Equal(t, 1, n.countLoaded("large"))
 }
 
-// Guards against this failure: a node that was paused orders an endpoint back to what it had
-// before.
-func TestWokenNodeOrdersNothingBeforeItHasReread(t *testing.T) {
+// Guards against a paused node that orders an endpoint back to the models of before
+// the pause, which another node has changed since.
+func TestResumedNodeWaitsBeforeOrdering(t *testing.T) {
 	n := newNode(1)
 	n.demand = map[string]int{"large": 500, "small": 500}
 	n.run(time.Minute)
@@ -142,16 +142,16 @@
 		n.loaded[name] = models[:1]
 		n.fences[name]++
 	}
-	woke := n.now
+	resumed := n.now
 	n.run(8 * time.Second)
 	require.Len(t, n.orders, settled)
 	n.run(time.Minute)
-	require.Greater(t, len(n.orders), settled, "it orders again later, above the other's numbers")
-	require.Equal(t, 4, n.with("small"))
-	require.GreaterOrEqual(t, n.now.Sub(woke), time.Minute)
+	require.Greater(t, len(n.orders), settled, "it orders again later, with higher fencing numbers")
+	require.Equal(t, 4, n.countLoaded("small"))
+	require.GreaterOrEqual(t, n.now.Sub(resumed), time.Minute)
 }
 
-func TestNodeBehindARevisionOrdersNothing(t *testing.T) {
+func TestNodeWithOldRevisionOrdersNothing(t *testing.T) {
 	n := newNode(3)
 	for name := range n.loaded {
 		n.fences[name], _ = capacity.NextFence(0, 4)
@@ -162,7 +162,7 @@
 	n.accept(5)
 	n.run(2 * time.Minute)
 	require.NotEmpty(t, n.orders)
-	require.Equal(t, 7, n.with("small"))
+	require.Equal(t, 7, n.countLoaded("small"))
 }
 
 func TestNextFence(t *testing.T) {
@@ -178,7 +178,7 @@
 	require.False(t, ok)
 }
 
-func TestAssignIsSteady(t *testing.T) {
+func TestAssignMovesFewEndpoints(t *testing.T) {
 	endpoints := make([]string, 20)
 	for i := range endpoints {
 		endpoints[i] = fmt.Sprintf("e%d", i)
--- a/internal/capacity/meter.go
+++ b/internal/capacity/meter.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// meterMemory is the time over which demand is averaged. It is long beside the
-// time that an engine takes to load a model.
-const meterMemory = 30 * time.Second
+// meterTimeConstant is the time constant of the demand average. It is long compared
+// with the time in which an engine loads a model.
+const meterTimeConstant = 30 * time.Second
 
 type (
-	// Meter measures the demand for each model that callers bring to the node.
-	// It is safe for concurrent use.
+	// Meter measures the demand of the node's callers for each model. It is safe
+	// for concurrent use.
 	Meter struct {
 		mu     sync.Mutex
 		models map[string]*average
 	}
 
 	average struct {
-		sum  float64
-		last time.Time
+		sum       float64
+		decayedAt time.Time
 	}
 )
 
-// NewMeter returns a Meter that has seen no demand.
+// NewMeter returns a Meter without demand.
 func NewMeter() *Meter { return &Meter{models: map[string]*average{}} }
 
 // Add counts a request's tokens.
@@ -33,28 +33,28 @@
 	defer m.mu.Unlock()
 	a := m.models[model]
 	if a == nil {
-		a = &average{last: now}
+		a = &average{decayedAt: now}
 		m.models[model] = a
 	}
-	a.fade(now)
+	a.decay(now)
 	a.sum += float64(tokens)
 }
 
-// Rates returns the demand for each model in tokens a second.
+// Rates returns the demand for each model in tokens per second.
 func (m *Meter) Rates(now time.Time) map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	rates := make(map[string]float64, len(m.models))
 	for model, a := range m.models {
-		a.fade(now)
-		rates[model] = a.sum / meterMemory.Seconds()
+		a.decay(now)
+		rates[model] = a.sum / meterTimeConstant.Seconds()
 	}
 	return rates
 }
 
-func (a *average) fade(now time.Time) {
-	if passed := now.Sub(a.last); passed > 0 {
-		a.sum *= math.Exp(-passed.Seconds() / meterMemory.Seconds())
-		a.last = now
+func (a *average) decay(now time.Time) {
+	if elapsed := now.Sub(a.decayedAt); elapsed > 0 {
+		a.sum *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
+		a.decayedAt = now
 	}
 }
--- a/internal/capacity/plugin.go
+++ b/internal/capacity/plugin.go
@@ -12,63 +12,63 @@
 
 const (
 	planInterval = time.Second
-	// hold is how long a count must be wrong by more than slack endpoints
-	// before it changes.
-	hold  = 30 * time.Second
-	slack = 0.75
-	// orderPause is the least time between two orders to one endpoint, and the
-	// time in which an order must be seen in the endpoint's report.
-	orderPause = 30 * time.Second
-	// wakePause is how long a node that was paused orders nothing: by then it
-	// has reread the configuration and heard who the homes are.
-	wakePause = 10 * time.Second
-	// demandStale is the age from which a peer's demand counts no more.
-	demandStale = 30 * time.Second
-	// tellPart is the change of a demand, as a part of it, that is told, and
-	// tellPause the least time between two messages.
-	tellPart  = 0.2
-	tellPause = 5 * time.Second
+	// changeDelay is how long a count must differ by more than tolerance endpoints
+	// from the ideal before it changes.
+	changeDelay = 30 * time.Second
+	tolerance   = 0.75
+	// minOrderInterval is the least time between two orders to one endpoint, and
+	// the time in which the endpoint's report must show the effect of an order.
+	minOrderInterval = 30 * time.Second
+	// resumePause is how long a node sends no orders after a pause: by then it has
+	// reread the configuration and learned the current owners.
+	resumePause = 10 * time.Second
+	// peerDemandTTL is how long a peer's reported demand counts.
+	peerDemandTTL = 30 * time.Second
+	// sendThreshold is the relative change of a demand that is sent, and
+	// minSendInterval the least time between two messages.
+	sendThreshold   = 0.2
+	minSendInterval = 5 * time.Second
 )
 
 type (
-	// Config is the settings of the plug-in.
+	// Config configures the plug-in.
 	Config struct {
-		// Meter measures the node's own demand; nil orders nothing.
+		// Meter measures the node's own demand; nil disables the plug-in.
 		Meter *Meter
 	}
 
 	extension struct{ config Config }
 
-	// service is the plan for one service in the node's cell.
-	service struct {
+	// servicePlan is the plan for one service in the node's cell.
+	servicePlan struct {
 		counts Counts
-		// wrong is since when the counts do not fit the demand.
-		wrong    time.Time
-		models   []string
-		size     int
-		revision uint64
+		// wrongSince is when the counts began to differ too much from the ideal.
+		wrongSince time.Time
+		models     []string
+		size       int
+		revision   uint64
 	}
 
-	// state is what an endpoint reported.
-	state struct {
-		models   []string
-		adapters []string
-		fence    uint64
-		ordered  time.Time
-		pending  bool
+	// endpointState is an endpoint's last report and order.
+	endpointState struct {
+		models    []string
+		adapters  []string
+		fence     uint64
+		lastOrder time.Time
+		pending   bool
 	}
 
 	plugin struct {
-		meter    *Meter
-		kernel   *kernel.Kernel
-		rates    map[string]float64
-		peers    rates.Book
-		sent     rates.Book
-		services map[string]*service
-		states   map[string]*state
-		planned  time.Time
-		woken    time.Time
-		heard    uint64
+		meter       *Meter
+		kernel      *kernel.Kernel
+		rates       map[string]float64
+		peers       rates.Table
+		sent        rates.Table
+		services    map[string]*servicePlan
+		states      map[string]*endpointState
+		lastPlan    time.Time
+		resumedAt   time.Time
+		maxRevision uint64
 	}
 )
 
@@ -84,38 +84,38 @@
 		meter:    e.config.Meter,
 		kernel:   k,
 		rates:    map[string]float64{},
-		peers:    rates.Book{},
-		sent:     rates.Book{},
-		services: map[string]*service{},
-		states:   map[string]*state{},
+		peers:    rates.Table{},
+		sent:     rates.Table{},
+		services: map[string]*servicePlan{},
+		states:   map[string]*endpointState{},
 	}, kernel.PriorityCapacity)
 }
 
-// Handle takes reports and demands, and orders what is missing.
+// Handle processes reports and demands, and sends the missing orders.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.LoadReported:
-		p.report(ev)
+		p.recordReport(ev)
 	case kernel.OrderEnded:
-		p.ended(ev)
+		p.orderEnded(ev)
 	case kernel.BeatReceived:
-		p.hear(now, ev.Beat)
+		p.receive(now, ev.Beat)
 	case kernel.BeatFailed:
 		delete(p.sent, ev.Node)
 	case kernel.Woken:
-		p.woken = now
+		p.resumedAt = now
 	case kernel.Tick:
-		if now.Sub(p.planned) >= planInterval {
-			p.planned = now
+		if now.Sub(p.lastPlan) >= planInterval {
+			p.lastPlan = now
 			p.plan(now, out)
 		}
 	}
 }
 
-// Publish writes nothing.
+// Publish adds nothing to the view.
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
-// Beat tells a peer of the cell the demand for models that changed.
+// Beat adds the demand for models that changed, for a peer of the cell.
 func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
 	if !b.Near {
 		return
@@ -123,19 +123,19 @@
 	if b.Intro != nil {
 		p.sent.Reset(to)
 	}
-	sent := p.sent.Of(to)
+	sent := p.sent.Row(to)
 	for _, model := range sortedKeys(p.rates) {
 		rate, last := p.rates[model], sent[model]
 		age := now.Sub(last.At)
-		if age < tellPause || age < demandStale/2 && math.Abs(last.Rate-rate) <= tellPart*last.Rate {
+		if age < minSendInterval || age < peerDemandTTL/2 && math.Abs(last.Rate-rate) <= sendThreshold*last.Rate {
 			continue
 		}
-		sent[model] = rates.Told{Rate: rate, At: now}
+		sent[model] = rates.Sample{Rate: rate, At: now}
 		b.Models = append(b.Models, kernel.ModelDemand{Model: model, Rate: rate})
 	}
 }
 
-// Dump shows the plans and what was ordered.
+// Dump returns the counts of the plans and the node's demand.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	counts := make(map[string]Counts, len(p.services))
 	for name, s := range p.services {
@@ -144,10 +144,10 @@
 	return "capacity", map[string]any{"counts": counts, "demand": p.rates}
 }
 
-func (p *plugin) report(ev kernel.LoadReported) {
+func (p *plugin) recordReport(ev kernel.LoadReported) {
 	s := p.states[ev.Endpoint]
 	if s == nil {
-		s = &state{}
+		s = &endpointState{}
 		p.states[ev.Endpoint] = s
 	}
 	s.models = slices.Sorted(slices.Values(ev.Models))
@@ -155,22 +155,22 @@
 	s.fence = max(s.fence, ev.Fence)
 }
 
-func (p *plugin) ended(ev kernel.OrderEnded) {
+func (p *plugin) orderEnded(ev kernel.OrderEnded) {
 	if s := p.states[ev.Endpoint]; s != nil {
 		s.pending = false
 		s.fence = max(s.fence, ev.Fence)
 	}
 }
 
-func (p *plugin) hear(now time.Time, b *kernel.Beat) {
-	p.heard = max(p.heard, b.Revision)
+func (p *plugin) receive(now time.Time, b *kernel.Beat) {
+	p.maxRevision = max(p.maxRevision, b.Revision)
 	for _, d := range b.Models {
-		p.peers.Hear(now, b.Node, d.Model, d.Rate)
+		p.peers.Set(now, b.Node, d.Model, d.Rate)
 	}
 }
 
-// plan works out what the cell's endpoints should have and orders what those
-// whose home the node is have not.
+// plan computes what the cell's endpoints should have loaded and sends orders to
+// those that the node owns if they differ.
 func (p *plugin) plan(now time.Time, out *kernel.Output) {
 	v := p.kernel.View()
 	p.rates = p.meter.Rates(now)
@@ -183,18 +183,18 @@
 		if pool == nil || len(s.Models) == 0 {
 			continue
 		}
-		p.serve(now, v, s, p.cell(v, pool), demand, out)
+		p.planService(now, v, s, p.cellEndpoints(v, pool), demand, out)
 	}
-	p.forget(v)
+	p.dropStates(v)
 }
 
-// serve plans one service. The models stand in the manifest's order.
-func (p *plugin) serve(now time.Time, v *kernel.View, s manifest.Service, endpoints []kernel.Endpoint, demand map[string]float64, out *kernel.Output) {
+// planService plans one service. The models are in the manifest's order.
+func (p *plugin) planService(now time.Time, v *kernel.View, s manifest.Service, endpoints []kernel.Endpoint, demand map[string]float64, out *kernel.Output) {
 	names := make([]string, len(endpoints))
 	for i, e := range endpoints {
 		names[i] = e.Name
 	}
-	counts := p.count(now, v.Manifest.Revision, s, len(names), demand)
+	counts := p.updateCounts(now, v.Manifest.Revision, s, len(names), demand)
 	assigned := Assign(s.Models, counts, names)
 	for _, e := range endpoints {
 		if p.mayOrder(now, v, e) {
@@ -203,59 +203,60 @@
 	}
 }
 
-// count returns the service's counts. They change at once with the revision and
-// the number of endpoints, but with demand only where they have been wrong for a
-// while: an engine that loads a model serves nobody meanwhile.
-func (p *plugin) count(now time.Time, revision uint64, s manifest.Service, size int, demand map[string]float64) Counts {
+// updateCounts returns the service's counts. They change at once if the models or
+// the number of endpoints change, but after a change of demand only if they have
+// been wrong for changeDelay: an engine that loads a model serves no requests
+// meanwhile.
+func (p *plugin) updateCounts(now time.Time, revision uint64, s manifest.Service, size int, demand map[string]float64) Counts {
 	ideal := Ideal(s.Models, demand, size)
 	plan := p.services[s.Name]
 	if plan == nil || plan.revision != revision && !slices.Equal(plan.models, s.Models) || plan.size != size {
-		plan = &service{counts: Round(s.Models, ideal, size), models: s.Models, size: size}
+		plan = &servicePlan{counts: Round(s.Models, ideal, size), models: s.Models, size: size}
 		p.services[s.Name] = plan
 	}
 	plan.revision = revision
-	if !wrong(plan.counts, ideal) {
-		plan.wrong = time.Time{}
+	if !outdated(plan.counts, ideal) {
+		plan.wrongSince = time.Time{}
 		return plan.counts
 	}
-	if plan.wrong.IsZero() {
-		plan.wrong = now
+	if plan.wrongSince.IsZero() {
+		plan.wrongSince = now
 	}
-	if now.Sub(plan.wrong) >= hold {
+	if now.Sub(plan.wrongSince) >= changeDelay {
 		plan.counts = Round(s.Models, ideal, size)
-		plan.wrong = time.Time{}
+		plan.wrongSince = time.Time{}
 	}
 	return plan.counts
 }
 
-// wrong reports whether counts miss the ideal by more than the slack. A model
-// without demand keeps its one endpoint.
-func wrong(counts Counts, ideal map[string]float64) bool {
+// outdated reports whether any count differs from the ideal by more than tolerance.
+// A model without demand keeps its one endpoint.
+func outdated(counts Counts, ideal map[string]float64) bool {
 	for m, c := range counts {
-		if math.Abs(max(ideal[m], 1)-float64(c)) > slack {
+		if math.Abs(max(ideal[m], 1)-float64(c)) > tolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// mayOrder reports whether the node may order an endpoint now.
+// mayOrder reports whether the node may send an order to an endpoint now.
 //
-// A node that was paused, or that is not sure to be the home, may undo what the
-// real home has ordered. Fenced endpoints would refuse that; the others would
-// obey. The node therefore orders nothing while it doubts its own state, while
-// homes settle, or while it has heard of a revision that it does not have.
+// A node that was paused, or that is not certain to be the owner, may undo the
+// orders of the actual owner. Fenced endpoints would reject that, but others would
+// comply. The node therefore sends no orders while its view is stale, while owners
+// settle, or if it has received a newer revision number than its own.
 func (p *plugin) mayOrder(now time.Time, v *kernel.View, e kernel.Endpoint) bool {
 	s := p.states[e.Name]
 	switch {
 	case e.Home != v.Self.Name || e.Settling || e.State != kernel.Live:
 		return false
-	case !v.Fresh(now) || v.Leaving || p.heard > v.Manifest.Revision:
+	case !v.Fresh(now) || v.Leaving || p.maxRevision > v.Manifest.Revision:
 		return false
-	case !p.woken.IsZero() && now.Sub(p.woken) < wakePause:
+	case !p.resumedAt.IsZero() && now.Sub(p.resumedAt) < resumePause:
 		return false
 	default:
-		return s != nil && len(s.models) > 0 && !s.pending && now.Sub(s.ordered) >= orderPause
+		return s != nil && len(s.models) > 0 && !s.pending && now.Sub(s.lastOrder) >= minOrderInterval
 	}
 }
 
@@ -269,7 +270,7 @@
 		return
 	}
 	s.pending = true
-	s.ordered = now
+	s.lastOrder = now
 	out.Do(kernel.Order{
 		Endpoint: e.Name, Addr: e.Addr, Fence: fence, Revision: v.Manifest.Revision,
 		Models: t.Models, Adapters: t.Adapters, Role: t.Role,
@@ -282,12 +283,12 @@
 	for model, rate := range p.rates {
 		sums[model] += rate
 	}
-	p.peers.Sum(now, sums, demandStale)
+	p.peers.Sum(now, sums, peerDemandTTL)
 	return sums
 }
 
-// cell returns the pool's endpoints of the node's cell that take work.
-func (p *plugin) cell(v *kernel.View, pool *kernel.Pool) []kernel.Endpoint {
+// cellEndpoints returns the pool's endpoints in the node's cell that accept work.
+func (p *plugin) cellEndpoints(v *kernel.View, pool *kernel.Pool) []kernel.Endpoint {
 	var list []kernel.Endpoint
 	for _, e := range pool.Endpoints {
 		scope, known := v.Scopes[e.Zone]
@@ -298,14 +299,14 @@
 	return list
 }
 
-// forget drops what is known of endpoints that the node is not the home of.
-func (p *plugin) forget(v *kernel.View) {
-	homed := make(map[string]bool, len(v.Probes))
+// dropStates removes the state of endpoints that the node does not own.
+func (p *plugin) dropStates(v *kernel.View) {
+	owned := make(map[string]bool, len(v.Probes))
 	for _, e := range v.Probes {
-		homed[e.Name] = true
+		owned[e.Name] = true
 	}
 	for name := range p.states {
-		if !homed[name] {
+		if !owned[name] {
 			delete(p.states, name)
 		}
 	}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,7 +1,6 @@
-// Package capacity is the kernel's plug-in that follows demand with what the
-// endpoints have loaded. What an endpoint should have is a pure function of the
-// accepted revision and the demand in the node's cell; the endpoint's home
-// orders it.
+// Package capacity is the kernel plug-in that adapts the models loaded at endpoints
+// to demand. What an endpoint should have loaded is a pure function of the accepted
+// revision and the demand in the node's cell; the endpoint's owner orders it.
 package capacity
 
 import (
@@ -13,8 +12,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// Role is the role that endpoints are ordered to take; the manifest tells of no
-// other.
+// Role is the role in every order; the manifest defines no other.
 const Role = "mixed"
 
 type (
@@ -25,12 +23,12 @@
 		Role     string
 	}
 
-	// Counts is how many endpoints should have each model.
+	// Counts is the number of endpoints for each model.
 	Counts map[string]int
 )
 
-// Ideal returns the number of endpoints that each model's part of the demand
-// amounts to, as fractions. Without demand every model gets the same.
+// Ideal returns the fractional number of endpoints that corresponds to each model's
+// part of the demand. Without demand all models get the same number.
 func Ideal(models []string, demand map[string]float64, endpoints int) map[string]float64 {
 	total := 0.0
 	for _, m := range models {
@@ -47,8 +45,8 @@
 	return ideal
 }
 
-// Round turns fractions into whole numbers of endpoints. Every model keeps one
-// where there are enough, so that no request waits for a model to be loaded.
+// Round rounds to whole numbers of endpoints. Every model keeps at least one if
+// there are enough, so that no request waits for a model to be loaded.
 func Round(models []string, ideal map[string]float64, endpoints int) Counts {
 	counts := Counts{}
 	if endpoints < len(models) {
@@ -57,17 +55,17 @@
 		}
 		return counts
 	}
-	left := endpoints
+	remaining := endpoints
 	for _, m := range models {
 		counts[m] = max(int(math.Floor(ideal[m])), 1)
-		left -= counts[m]
+		remaining -= counts[m]
 	}
 	order := slices.Clone(models)
-	missing := func(m string) float64 { return ideal[m] - float64(counts[m]) }
-	for ; left != 0; left -= sign(left) {
-		step := sign(left)
+	shortfall := func(m string) float64 { return ideal[m] - float64(counts[m]) }
+	for ; remaining != 0; remaining -= sign(remaining) {
+		step := sign(remaining)
 		slices.SortStableFunc(order, func(a, b string) int {
-			return step * cmp.Compare(missing(b), missing(a))
+			return step * cmp.Compare(shortfall(b), shortfall(a))
 		})
 		for _, m := range order {
 			if counts[m]+step >= 1 {
@@ -79,10 +77,10 @@
 	return counts
 }
 
-// Assign returns the models of each endpoint. Each model takes the first
-// endpoints of its rendezvous order that no model before it took, so that a
-// count that changes by one moves few endpoints, and nodes with the same counts
-// agree. Where there are fewer endpoints than models, endpoints take several.
+// Assign returns the models of each endpoint. Each model takes the first endpoints
+// of its rendezvous order that no earlier model took, so that changing a count by
+// one moves few endpoints, and nodes with the same counts agree. If there are fewer
+// endpoints than models, an endpoint may get several.
 func Assign(models []string, counts Counts, endpoints []string) map[string][]string {
 	assigned := make(map[string][]string, len(endpoints))
 	if len(endpoints) == 0 {
@@ -98,18 +96,18 @@
 			assigned[name] = append(assigned[name], m)
 			continue
 		}
-		left := counts[m]
+		remaining := counts[m]
 		for _, name := range order {
-			if left > 0 && len(assigned[name]) == 0 {
+			if remaining > 0 && len(assigned[name]) == 0 {
 				assigned[name] = []string{m}
-				left--
+				remaining--
 			}
 		}
 	}
 	return assigned
 }
 
-// target returns what an endpoint with the given models should have.
+// target returns what an endpoint with the given models should have loaded.
 func target(m *manifest.Manifest, models []string) Target {
 	t := Target{Models: slices.Sorted(slices.Values(models)), Role: Role}
 	for _, model := range m.Models {
--- a/internal/limit/entry.go
+++ b/internal/limit/entry.go
@@ -15,58 +15,57 @@
 type (
 	entryState int
 
-	// Entry is a request that asked for admission. It is safe for concurrent
-	// use.
+	// Entry is a request for admission. It is safe for concurrent use.
 	Entry struct {
-		limiter *Limiter
-		bucket  *bucket
-		ask     Ask
-		serial  uint64
-		state   entryState
-		retry   time.Duration
-		wake    chan struct{}
+		limiter    *Limiter
+		bucket     *bucket
+		ask        Ask
+		serial     uint64
+		state      entryState
+		retryAfter time.Duration
+		wake       chan struct{}
 	}
 )
 
-// Poll returns what becomes of the request now.
+// Poll returns the current decision on the request.
 func (e *Entry) Poll(now time.Time) Step {
 	e.limiter.mu.Lock()
 	defer e.limiter.mu.Unlock()
 	if e.state == entryWaiting {
 		e.bucket.admit(now)
-		e.bucket.sweep(now)
-		e.limiter.count()
+		e.bucket.refuseLate(now)
+		e.limiter.updateWaiting()
 	}
 	switch e.state {
 	case entryAdmitted:
 		return Step{Kind: StepGo}
 	case entryRefused:
-		return Step{Kind: StepRefuse, RetryAfter: e.retry}
+		return Step{Kind: StepRefuse, RetryAfter: e.retryAfter}
 	}
 	for i, other := range e.bucket.queue {
 		if other == e {
-			return Step{Kind: StepWait, Until: now.Add(max(e.bucket.turn(now, i), time.Millisecond))}
+			return Step{Kind: StepWait, Until: now.Add(max(e.bucket.waitTime(now, i), time.Millisecond))}
 		}
 	}
 	return Step{Kind: StepGo}
 }
 
-// Wake returns a channel that tells when it is worth polling before the time
-// that the last Step named.
+// Wake returns a channel that receives when it is worth polling before the last
+// Step's Until.
 func (e *Entry) Wake() <-chan struct{} { return e.wake }
 
-// Cancel takes a waiting request out.
+// Cancel removes a waiting request.
 func (e *Entry) Cancel() {
 	e.limiter.mu.Lock()
 	defer e.limiter.mu.Unlock()
 	if e.state == entryWaiting {
 		e.bucket.remove(e)
 		e.state = entryRefused
-		e.limiter.count()
+		e.limiter.updateWaiting()
 	}
 }
 
-func (e *Entry) end(s entryState) {
+func (e *Entry) finish(s entryState) {
 	e.state = s
 	e.notify()
 }
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	accountRate = 10000.0
-	requestSize = 100
-	patience    = 2 * time.Second
+	accountRate    = 10000.0
+	requestSize    = 100
+	requestTimeout = 2 * time.Second
 )
 
 type (
@@ -35,15 +35,15 @@
 		until   time.Time
 	}
 
-	// fleet is 8 kernels in one cell, which admit requests in virtual time.
+	// fleet is 8 kernels in one cell that admit requests in virtual time.
 	fleet struct {
 		now   time.Time
 		rand  *rand.Rand
 		nodes []*node
 		names map[string]*node
 		cut   func(a, b string) bool
-		// admitted holds tokens by account, delays the longest wait, refused
-		// the requests refused and early how many of them at once.
+		// admitted is in tokens; delays is the longest wait of an admitted request.
+		// late counts refusals at or after the request's deadline.
 		admitted map[string]float64
 		delays   map[string]time.Duration
 		refused  map[string]int
@@ -77,12 +77,12 @@
 		f.step(n, kernel.Accepted{Manifest: m})
 		f.step(n, kernel.Instances{Version: 1, List: list})
 	}
-	f.forget()
+	f.resetCounts()
 	f.run(3*time.Second, nil)
 	return f
 }
 
-func (f *fleet) forget() {
+func (f *fleet) resetCounts() {
 	f.admitted, f.delays, f.refused = map[string]float64{}, map[string]time.Duration{}, map[string]int{}
 }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// run lets time pass while accounts ask for so many tokens a second of the
-// whole fleet.
+// run advances time while accounts request the given tokens per second of the whole
+// fleet.
 func (f *fleet) run(d time.Duration, demand map[string]float64) {
 	due := map[string]float64{}
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -125,7 +125,7 @@
 }
 
 func (f *fleet) ask(n *node, account string) {
-	entry := n.limiter.Offer(f.now, limit.Ask{Account: account, Tokens: requestSize, Deadline: f.now.Add(patience)})
+	entry := n.limiter.Offer(f.now, limit.Ask{Account: account, Tokens: requestSize, Deadline: f.now.Add(requestTimeout)})
 	n.waiting = append(n.waiting, &request{entry: entry, account: account, asked: f.now})
 }
 
@@ -144,7 +144,7 @@
 			f.delays[r.account] = max(f.delays[r.account], waited)
 		case limit.StepRefuse:
 			f.refused[r.account]++
-			if waited >= patience {
+			if waited >= requestTimeout {
 				f.late++
 			}
 		default:
@@ -175,13 +175,13 @@
 	return names
 }
 
-// Guards against this failure: one account's surge delays everyone, or gets many times its rate
-// because each node allows it.
-func TestSurgingAccountQueuesBehindItsOwnShare(t *testing.T) {
+// Guards against a surging account that delays all others, or that gets many times
+// its rate because each node admits the whole rate.
+func TestSurgingAccountDelaysOnlyItself(t *testing.T) {
 	f := newFleet("calm", "surge")
 	f.run(10*time.Second, map[string]float64{"calm": 5000, "surge": 5000})
 	require.Zero(t, f.refused["surge"]+f.refused["calm"])
-	f.forget()
+	f.resetCounts()
 	const seconds = 20
 	f.run(seconds*time.Second, map[string]float64{"calm": 5000, "surge": 10 * accountRate})
 	rate := f.admitted["surge"] / seconds / accountRate
@@ -191,26 +191,26 @@
 	require.Zero(t, f.refused["calm"])
 	require.Less(t, f.delays["calm"], 100*time.Millisecond)
 	require.Positive(t, f.refused["surge"])
-	require.Zero(t, f.late, "who is refused learns it before the deadline")
+	require.Zero(t, f.late, "requests are refused before their deadline")
 }
 
-// Guards against this failure: an account gets its rate twice while the fleet is parted.
+// Guards against an account that gets its rate twice in a network partition.
 func TestPartitionDoesNotDoubleARate(t *testing.T) {
 	f := newFleet("surge")
 	half := func(name string) bool { return name < "n4" }
 	f.cut = func(a, b string) bool { return half(a) != half(b) }
 	f.run(10*time.Second, map[string]float64{"surge": accountRate})
-	f.forget()
+	f.resetCounts()
 	const seconds = 20
 	f.run(seconds*time.Second, map[string]float64{"surge": 10 * accountRate})
 	rate := f.admitted["surge"] / seconds / accountRate
-	t.Logf("surge in a fleet parted in halves: %.3f of its rate", rate)
+	t.Logf("surge in a fleet partitioned in halves: %.3f of its rate", rate)
 	require.InDelta(t, 1, rate, 0.10)
 }
 
-// Guards against this failure: an account whose callers all use one node gets an eighth of its
-// rate.
-func TestOneNodeGetsTheWholeRateOfAnAccountThatOnlyItServes(t *testing.T) {
+// Guards against an account that gets an eighth of its rate because all its callers
+// use one of eight nodes.
+func TestSingleNodeGetsWholeRate(t *testing.T) {
 	f := newFleet("surge")
 	f.nodes = f.nodes[:1]
 	run := func(d time.Duration) {
@@ -219,16 +219,16 @@
 			f.ask(f.nodes[0], "surge")
 		}
 	}
-	// The others still answer heartbeats.
+	// The other nodes still answer heartbeats.
 	run(5 * time.Second)
-	f.forget()
+	f.resetCounts()
 	run(10 * time.Second)
 	require.InDelta(t, 1, f.admitted["surge"]/10/accountRate, 0.05)
 }
 
 func TestPriorityAndDeadlineWithinAnAccount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := limit.NewLimiter(limit.LimiterConfig{Queue: 3})
+	l := limit.NewLimiter(limit.LimiterConfig{MaxPerAccount: 3})
 	share := map[string]limit.Share{"a": {Rate: 100, Burst: 100}}
 	l.Limit(now, share, share)
 	offer := func(priority int, deadline time.Duration) *limit.Entry {
@@ -244,7 +244,7 @@
 	require.Equal(t, limit.StepRefuse, second.Poll(now).Kind, "at once, not at its deadline")
 	require.Equal(t, 2*time.Second, second.Poll(now).RetryAfter)
 	urgent := offer(5, 10*time.Second)
-	require.Equal(t, now.Add(time.Second), urgent.Poll(now).Until, "priority goes before")
+	require.Equal(t, now.Add(time.Second), urgent.Poll(now).Until, "higher priority goes first")
 	require.Equal(t, limit.StepRefuse, impatient.Poll(now).Kind)
 	for range 2 {
 		offer(0, time.Hour)
@@ -255,7 +255,7 @@
 	require.Equal(t, 2, l.Waiting())
 }
 
-func TestUnlimitedAccountsPass(t *testing.T) {
+func TestUnlimitedAccountsAreAdmitted(t *testing.T) {
 	l := limit.NewLimiter(limit.LimiterConfig{})
 	e := l.Offer(time.Unix(1000, 0), limit.Ask{Account: "a", Tokens: 1 << 40})
 	require.Equal(t, limit.StepGo, e.Poll(time.Unix(1000, 0)).Kind)
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -1,7 +1,7 @@
-// Package limit holds client accounts to their rates over the whole fleet
-// without a shared counter. Its traffic side, the Limiter, admits requests
-// within the node's share of each account's rate; its plug-in spreads the
-// demand of heavy accounts between nodes and divides the rates by it.
+// Package limit enforces the rates of client accounts across the fleet without a
+// shared counter. The Limiter admits requests within the node's share of each
+// account's rate. The plug-in propagates the demand of heavy accounts between nodes
+// and divides the rates in proportion to it.
 package limit
 
 import (
@@ -10,41 +10,45 @@
 )
 
 const (
-	// DefaultQueue is the requests of one account that wait at a node at most.
-	DefaultQueue = 256
-	// DefaultTotal is the requests of all accounts that wait at a node at most.
-	DefaultTotal = 4096
-
-	// idleBucket is how long an account without requests is remembered.
-	idleBucket = time.Minute
+	// DefaultMaxPerAccount is the default limit on waiting requests of one account
+	// at a node.
+	DefaultMaxPerAccount = 256
+	// DefaultMaxWaiting is the default limit on waiting requests of all accounts at
+	// a node.
+	DefaultMaxWaiting = 4096
+
+	// idleTimeout is how long the state of an account without requests is kept.
+	idleTimeout = time.Minute
 )
 
 // Kinds of steps.
 const (
 	// StepGo admits the request.
 	StepGo StepKind = iota + 1
-	// StepWait lets time pass until Until or until the entry's Wake.
+	// StepWait waits until Until or the entry's Wake, whichever is first.
 	StepWait
-	// StepRefuse refuses the request: its turn would come after its deadline.
+	// StepRefuse refuses the request: it would be admitted after its deadline, or
+	// the queue is full.
 	StepRefuse
 )
 
 type (
-	// StepKind is what becomes of a request.
+	// StepKind is the decision on a request.
 	StepKind int
 
-	// Step is what to do next with a request.
+	// Step is the decision on a request and when to poll or retry.
 	Step struct {
 		Kind  StepKind
 		Until time.Time
-		// RetryAfter is when a refused request would have had its turn.
+		// RetryAfter is the time until a refused request would have been admitted,
+		// within bounds.
 		RetryAfter time.Duration
 	}
 
-	// Ask asks for the admission of one request.
+	// Ask requests the admission of one request.
 	Ask struct {
 		Account string
-		// Tokens is the prompt tokens and the tokens to generate.
+		// Tokens is the number of prompt tokens plus the tokens to generate.
 		Tokens   int
 		Priority int
 		Deadline time.Time
@@ -52,27 +56,28 @@
 
 	// Share is the part of an account's rate that a node may use.
 	Share struct {
-		// Rate is in tokens a second.
+		// Rate is in tokens per second.
 		Rate float64
 		// Burst is in tokens.
 		Burst float64
 	}
 
-	// LimiterConfig is the settings of a Limiter; zero values are defaults.
+	// LimiterConfig configures the queues of a Limiter on one node; zero values are
+	// defaults.
 	LimiterConfig struct {
-		Queue int
-		Total int
+		MaxPerAccount int
+		MaxWaiting    int
 	}
 
-	// Limiter admits requests within their accounts' shares. Requests over the
-	// share wait in a queue of their own account, so that a surging account
-	// delays nobody else. It is safe for concurrent use.
+	// Limiter admits requests within their accounts' shares. Requests above the
+	// share wait in a queue per account, so that a surging account delays no other.
+	// It is safe for concurrent use.
 	Limiter struct {
 		config  LimiterConfig
 		mu      sync.Mutex
 		buckets map[string]*bucket
-		// initial holds the share that an account starts with; accounts that
-		// are not in it have no limit.
+		// initial holds the share that an account starts with; other accounts have
+		// no limit.
 		initial map[string]Share
 		waiting int
 		serial  uint64
@@ -81,16 +86,16 @@
 
 // NewLimiter returns a Limiter that limits no account until shares are set.
 func NewLimiter(c LimiterConfig) *Limiter {
-	if c.Queue == 0 {
-		c.Queue = DefaultQueue
+	if c.MaxPerAccount == 0 {
+		c.MaxPerAccount = DefaultMaxPerAccount
 	}
-	if c.Total == 0 {
-		c.Total = DefaultTotal
+	if c.MaxWaiting == 0 {
+		c.MaxWaiting = DefaultMaxWaiting
 	}
 	return &Limiter{config: c, buckets: map[string]*bucket{}}
 }
 
-// Offer takes a request in; Poll tells what becomes of it.
+// Offer enqueues a request; Poll returns the decision on it.
 func (l *Limiter) Offer(now time.Time, a Ask) *Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,16 +117,16 @@
 	b.insert(e)
 	l.waiting++
 	b.admit(now)
-	if len(b.queue) > l.config.Queue || l.waiting > l.config.Total {
+	if len(b.queue) > l.config.MaxPerAccount || l.waiting > l.config.MaxWaiting {
 		last := b.queue[len(b.queue)-1]
-		b.refuse(last, b.turn(now, len(b.queue)-1))
+		b.refuse(last, b.waitTime(now, len(b.queue)-1))
 	}
-	b.sweep(now)
-	l.count()
+	b.refuseLate(now)
+	l.updateWaiting()
 	return e
 }
 
-// Demands returns what each account asked for of late, in tokens a second.
+// Demands returns each account's recent demand in tokens per second.
 func (l *Limiter) Demands(now time.Time) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,15 +139,15 @@
 	return demands
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (l *Limiter) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting
 }
 
-// Limit sets the shares that accounts start with, and those of the accounts
-// that have asked. The maps must not be changed afterwards.
+// Limit sets the initial shares of all limited accounts, and the shares of those
+// with recent requests. The maps must not be changed afterwards.
 func (l *Limiter) Limit(now time.Time, initial, shares map[string]Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,19 +158,19 @@
 			share, known = initial[account]
 		}
 		if !known || len(b.queue) == 0 && b.demand.idle(now) {
-			b.release()
+			b.admitAll()
 			delete(l.buckets, account)
 			continue
 		}
 		b.resize(now, share)
 		b.admit(now)
-		b.sweep(now)
+		b.refuseLate(now)
 	}
-	l.count()
+	l.updateWaiting()
 }
 
-// count counts the waiting requests anew.
-func (l *Limiter) count() {
+// updateWaiting recounts the waiting requests.
+func (l *Limiter) updateWaiting() {
 	l.waiting = 0
 	for _, b := range l.buckets {
 		l.waiting += len(b.queue)
--- a/internal/limit/plugin.go
+++ b/internal/limit/plugin.go
@@ -12,43 +12,44 @@
 )
 
 const (
-	// heavyPart is the part of an account's rate, divided by the number of
-	// nodes, cells or regions, above which its demand is spread. What is not
-	// spread adds up to this part of the rate at each level at most.
-	heavyPart = 0.05
-	// nodeDemands and cellDemands bound the accounts of a heartbeat and of a
+	// heavyFraction is the fraction of an account's rate, divided by the number of
+	// nodes, cells or regions, above which its demand is propagated. The demand
+	// that is not propagated adds up to at most this fraction of the rate at each
+	// level.
+	heavyFraction = 0.05
+	// maxNodeDemands and maxCellDemands bound the accounts in a heartbeat and in a
 	// digest; those that use most of their rate come first.
-	nodeDemands = 8
-	cellDemands = 8
-	// initialPart is the part of the rate that a node gives an account before
-	// its demand is known to others; with fewer nodes it is one over their
+	maxNodeDemands = 8
+	maxCellDemands = 8
+	// initialFraction is the fraction of the rate that a node gives an account
+	// before other nodes know its demand; with fewer nodes it is one over their
 	// number.
-	initialPart = 1.0 / 8
-	// divideInterval is how often rates are divided anew.
+	initialFraction = 1.0 / 8
+	// divideInterval is how often rates are divided.
 	divideInterval = 200 * time.Millisecond
-	// announced is how long a demand must have been spread before the node
-	// takes its whole share: until then other nodes divide without it.
-	announced = 1500 * time.Millisecond
-	// pastDivisions is how many divisions a heartbeat takes to reach all peers.
-	pastDivisions = 6
-	// refreshDemand is how often an unchanged demand is told again; demandStale
-	// and scopeStale are the ages from which a peer's and a scope's count no
-	// more.
-	refreshDemand = 4 * time.Second
-	demandStale   = 10 * time.Second
-	scopeStale    = 25 * time.Second
-	// tellPart is the change of a demand that is told, as a part of the rate;
-	// as a part of the demand, but at least of smallPart of the rate, it is
-	// told after tellPause.
-	tellPart  = 0.25
-	smallPart = 0.5
-	tellPause = 2 * time.Second
+	// announceDelay is how long a demand must have been propagated before the node
+	// uses its whole share: until then other nodes divide the rate without it.
+	announceDelay = 1500 * time.Millisecond
+	// historyLen is the number of divisions in the time that a heartbeat takes to
+	// reach all peers.
+	historyLen = 6
+	// refreshInterval is how often an unchanged demand is sent again. peerDemandTTL
+	// and scopeDemandTTL are how long the demands of a peer and of a scope count.
+	refreshInterval = 4 * time.Second
+	peerDemandTTL   = 10 * time.Second
+	scopeDemandTTL  = 25 * time.Second
+	// sendThreshold is the change of a demand that is sent, as a fraction of the
+	// account's rate. Measured as a fraction of the demand, or of minSendBase of
+	// the rate if that is more, the change is sent after minSendInterval.
+	sendThreshold   = 0.25
+	minSendBase     = 0.5
+	minSendInterval = 2 * time.Second
 )
 
 type (
-	// Config is the settings of the plug-in.
+	// Config configures the plug-in.
 	Config struct {
-		// Limiter is the traffic side; nil limits nothing.
+		// Limiter admits the node's requests; nil disables the plug-in.
 		Limiter *Limiter
 	}
 
@@ -57,29 +58,28 @@
 	plugin struct {
 		limiter *Limiter
 		kernel  *kernel.Kernel
-		// own is the node's own demand, heavy that of its heavy accounts; since is when each became
-		// heavy.
-		own   map[string]float64
-		heavy map[string]float64
-		since map[string]time.Time
-		// past is what heavy was at the last divisions, newest last.
-		past   []map[string]float64
-		peers  rates.Book
-		scopes rates.Book
-		// sent is what each peer was told.
-		sent    rates.Book
-		divided time.Time
-		// accounts and initial are those of the manifest and the fleet's size
-		// they were made for.
+		// own is the node's own demand, heavy that of its heavy accounts;
+		// heavySince is when each became heavy.
+		own        map[string]float64
+		heavy      map[string]float64
+		heavySince map[string]time.Time
+		// heavyHistory holds heavy at the last divisions, newest last.
+		heavyHistory []map[string]float64
+		peers        rates.Table
+		scopes       rates.Table
+		// sent is what was last sent to each peer.
+		sent         rates.Table
+		lastDivision time.Time
+		// accounts and initial are derived from manifest and fleet.
 		manifest *manifest.Manifest
 		fleet    fleet
 		accounts map[string]manifest.Account
 		initial  map[string]Share
 	}
 
-	// fleet is the nodes that should be there and those the node sees.
+	// fleet counts the listed nodes, the reachable nodes and the zones.
 	fleet struct {
-		listed, seen, zones, regions int
+		listed, reachable, zones, regions int
 	}
 )
 
@@ -92,38 +92,38 @@
 		return
 	}
 	k.Register(&plugin{
-		limiter: e.config.Limiter,
-		kernel:  k,
-		heavy:   map[string]float64{},
-		since:   map[string]time.Time{},
-		peers:   rates.Book{},
-		scopes:  rates.Book{},
-		sent:    rates.Book{},
+		limiter:    e.config.Limiter,
+		kernel:     k,
+		heavy:      map[string]float64{},
+		heavySince: map[string]time.Time{},
+		peers:      rates.Table{},
+		scopes:     rates.Table{},
+		sent:       rates.Table{},
 	}, kernel.PriorityLimit)
 }
 
-// Handle takes the demands that peers tell and divides the rates.
+// Handle records the demands that peers send and divides the rates.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, _ *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.BeatReceived:
-		take(now, p.peers, ev.Beat.Node, ev.Beat.Demands)
+		record(now, p.peers, ev.Beat.Node, ev.Beat.Demands)
 	case kernel.BeatFailed:
 		delete(p.sent, ev.Node)
 	case kernel.Digested:
 		p.scopes.Reset(ev.Digest.Scope)
-		take(now, p.scopes, ev.Digest.Scope, ev.Digest.Demands)
+		record(now, p.scopes, ev.Digest.Scope, ev.Digest.Demands)
 	case kernel.Tick:
-		if now.Sub(p.divided) >= divideInterval {
-			p.divided = now
-			p.divide(now)
+		if now.Sub(p.lastDivision) >= divideInterval {
+			p.lastDivision = now
+			p.divideRates(now)
 		}
 	}
 }
 
-// Publish writes nothing.
+// Publish adds nothing to the view.
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
-// Beat tells a peer of the cell the heavy accounts whose demand changed.
+// Beat adds the heavy accounts whose demand changed, for a peer of the cell.
 func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
 	if !b.Near {
 		return
@@ -131,18 +131,18 @@
 	if b.Intro != nil {
 		p.sent.Reset(to)
 	}
-	sent := p.sent.Of(to)
+	sent := p.sent.Row(to)
 	for account, rate := range p.heavy {
-		if last, known := sent[account]; known && !p.worthTelling(now, account, last, rate) {
+		if last, known := sent[account]; known && !p.shouldSend(now, account, last, rate) {
 			continue
 		}
-		sent[account] = rates.Told{Rate: rate, At: now}
+		sent[account] = rates.Sample{Rate: rate, At: now}
 		b.Demands = append(b.Demands, kernel.Demand{Account: account, Rate: rate})
 	}
 	for account, last := range sent {
 		_, still := p.heavy[account]
-		// One that others have pushed out of the list is forgotten by the peer
-		// in time; only demand that has gone is told.
+		// The demand of an account that dropped out of the list because others are
+		// heavier expires at the peer; only the end of a demand is sent.
 		if !still && p.own[account] < last.Rate/2 {
 			delete(sent, account)
 			b.Demands = append(b.Demands, kernel.Demand{Account: account})
@@ -150,14 +150,14 @@
 	}
 	sortDemands(b.Demands)
 	if b.Ends {
-		b.Digests = p.concerning(to, b.Digests)
+		b.Digests = p.filterDigests(to, b.Digests)
 	}
 }
 
-// concerning returns digests with the demands of the accounts that a peer has
-// told of only. A node needs to know of no other: at the target size the demands
-// of all accounts would be most of what a relay sends.
-func (p *plugin) concerning(to string, digests []kernel.Digest) []kernel.Digest {
+// filterDigests returns the digests with only the demands of accounts that the peer
+// has reported. A node needs no others, and at the target size the demands of all
+// accounts would be most of what a relay sends.
+func (p *plugin) filterDigests(to string, digests []kernel.Digest) []kernel.Digest {
 	known := p.peers[to]
 	list := make([]kernel.Digest, len(digests))
 	for i, d := range digests {
@@ -172,64 +172,65 @@
 	return list
 }
 
-// worthTelling reports whether a peer must hear of an account's demand anew: at
-// once where it changed by much of the rate, less often for smaller changes, and
-// now and then in any case.
-func (p *plugin) worthTelling(now time.Time, account string, last rates.Told, rate float64) bool {
+// shouldSend reports whether to send an account's demand to a peer again:
+// immediately after a change by much of the rate, less often after smaller changes,
+// and periodically in any case.
+func (p *plugin) shouldSend(now time.Time, account string, last rates.Sample, rate float64) bool {
 	limit := p.accounts[account].Rate
 	change := math.Abs(last.Rate - rate)
 	age := now.Sub(last.At)
 	switch {
-	case age >= refreshDemand || change >= tellPart*limit:
+	case age >= refreshInterval || change >= sendThreshold*limit:
 		return true
 	default:
-		return age >= tellPause && change >= tellPart*max(last.Rate, smallPart*limit)
+		return age >= minSendInterval && change >= sendThreshold*max(last.Rate, minSendBase*limit)
 	}
 }
 
-// Summarize adds the cell's heavy accounts.
+// Summarize adds the cell's heavy accounts to the digest.
 func (p *plugin) Summarize(now time.Time, d *kernel.Digest) {
 	sums := map[string]float64{}
 	for account, rate := range p.heavy {
 		sums[account] += rate
 	}
-	p.peers.Sum(now, sums, demandStale)
-	d.Demands = p.heaviest(sums, max(p.fleet.zones, 1), cellDemands)
+	p.peers.Sum(now, sums, peerDemandTTL)
+	d.Demands = p.heaviest(sums, max(p.fleet.zones, 1), maxCellDemands)
 }
 
-// Dump shows the heavy accounts and the fleet they are divided over.
+// Dump returns the heavy accounts and the size of the fleet that their rates are
+// divided over.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	return "limit", map[string]any{
-		"heavy": p.heavy, "listed": p.fleet.listed, "seen": p.fleet.seen, "waiting": p.limiter.Waiting(),
+		"heavy": p.heavy, "listed": p.fleet.listed, "seen": p.fleet.reachable, "waiting": p.limiter.Waiting(),
 	}
 }
 
-// divide gives every account the node's share of its rate.
-func (p *plugin) divide(now time.Time) {
+// divideRates gives every account the node's share of its rate.
+func (p *plugin) divideRates(now time.Time) {
 	v := p.kernel.View()
 	if v.Manifest == nil {
 		return
 	}
-	p.measure(v)
+	p.updateFleet(v)
 	own := p.limiter.Demands(now)
 	p.own = own
 	p.heavy = map[string]float64{}
-	for _, d := range p.heaviest(own, p.fleet.listed, nodeDemands) {
+	for _, d := range p.heaviest(own, p.fleet.listed, maxNodeDemands) {
 		p.heavy[d.Account] = d.Rate
-		if p.since[d.Account].IsZero() {
-			p.since[d.Account] = now
+		if p.heavySince[d.Account].IsZero() {
+			p.heavySince[d.Account] = now
 		}
 	}
-	p.past = append(p.past, p.heavy)
-	p.past = p.past[max(len(p.past)-pastDivisions, 0):]
-	for account := range p.since {
+	p.heavyHistory = append(p.heavyHistory, p.heavy)
+	p.heavyHistory = p.heavyHistory[max(len(p.heavyHistory)-historyLen, 0):]
+	for account := range p.heavySince {
 		if _, still := p.heavy[account]; !still {
-			delete(p.since, account)
+			delete(p.heavySince, account)
 		}
 	}
 	others := map[string]float64{}
-	p.peers.Sum(now, others, demandStale)
-	p.scopes.Sum(now, others, scopeStale)
+	p.peers.Sum(now, others, peerDemandTTL)
+	p.scopes.Sum(now, others, scopeDemandTTL)
 	shares := make(map[string]Share, len(own))
 	for account, demand := range own {
 		shares[account] = p.share(now, account, demand, others[account])
@@ -237,54 +238,54 @@
 	p.limiter.Limit(now, p.initial, shares)
 }
 
-// share returns the node's share of an account.
+// share returns the node's share of an account's rate.
 //
-// In a partition each part of the fleet sees only its own demand. If each
-// divided the whole rate among itself, the account would get it once for every
-// part. The nodes that the node sees therefore divide only what as many nodes
-// of the whole list would get.
+// In a network partition each part of the fleet sees only its own demand. If each
+// part divided the whole rate, the account would get it once per part. The
+// reachable nodes therefore divide only their proportion of the rate, by number of
+// listed nodes.
 func (p *plugin) share(now time.Time, account string, own, others float64) Share {
 	a := p.accounts[account]
-	seen := float64(p.fleet.seen) / float64(p.fleet.listed)
-	part := seen * own / (own + others)
-	since := p.since[account]
-	if since.IsZero() || now.Sub(since) < announced {
-		part = min(part, p.first())
+	reachable := float64(p.fleet.reachable) / float64(p.fleet.listed)
+	part := reachable * own / (own + others)
+	since := p.heavySince[account]
+	if since.IsZero() || now.Sub(since) < announceDelay {
+		part = min(part, p.startFraction())
 	} else {
-		known := p.known(account)
-		part = seen * known / (known + others)
+		known := p.announcedDemand(account)
+		part = reachable * known / (known + others)
 	}
-	part = max(part, heavyPart/float64(p.fleet.listed))
+	part = max(part, heavyFraction/float64(p.fleet.listed))
 	return Share{Rate: a.Rate * part, Burst: a.Burst * part}
 }
 
-// known returns the node's own demand as its peers know it.
+// announcedDemand returns the node's own demand as its peers know it.
 //
-// Demand that rises everywhere at once is seen at home first. Dividing by the
-// others' old numbers, each node would take most of the rate until it hears of
-// them. The least demand of the time that a heartbeat takes is known to all.
-func (p *plugin) known(account string) float64 {
+// When demand rises everywhere at once, each node sees its own rise first. Dividing
+// by the others' old numbers, it would take most of the rate until theirs arrive.
+// All peers know the lowest demand within the time that a heartbeat takes.
+func (p *plugin) announcedDemand(account string) float64 {
 	least := math.Inf(1)
-	for _, heavy := range p.past {
+	for _, heavy := range p.heavyHistory {
 		least = min(least, heavy[account])
 	}
 	return max(least, 1)
 }
 
-// first returns the part of a rate that an account starts with.
-func (p *plugin) first() float64 {
-	return max(initialPart, 1/float64(p.fleet.listed)) * float64(p.fleet.seen) / float64(p.fleet.listed)
+// startFraction returns the fraction of a rate that an account starts with.
+func (p *plugin) startFraction() float64 {
+	return max(initialFraction, 1/float64(p.fleet.listed)) * float64(p.fleet.reachable) / float64(p.fleet.listed)
 }
 
-// measure takes over the accounts in force and the size of the fleet.
-func (p *plugin) measure(v *kernel.View) {
+// updateFleet updates the accounts from the manifest and the size of the fleet.
+func (p *plugin) updateFleet(v *kernel.View) {
 	f := fleet{listed: max(v.Fleet, 1), zones: len(v.Manifest.Zones)}
 	for _, n := range v.Nodes {
 		if n.State == kernel.Live || n.Name == v.Self.Name {
-			f.seen++
+			f.reachable++
 		}
 	}
-	f.listed = max(f.listed, f.seen)
+	f.listed = max(f.listed, f.reachable)
 	if f == p.fleet && v.Manifest == p.manifest {
 		return
 	}
@@ -297,17 +298,18 @@
 			continue
 		}
 		p.accounts[a.Name] = a
-		p.initial[a.Name] = Share{Rate: a.Rate * p.first(), Burst: a.Burst * p.first()}
+		p.initial[a.Name] = Share{Rate: a.Rate * p.startFraction(), Burst: a.Burst * p.startFraction()}
 	}
 }
 
-// heaviest returns the accounts that use so much of their rate that one of so
-// many parts of the fleet must tell the others, at most a number of them.
+// heaviest returns the accounts that use so much of their rate that one of the
+// given number of parts of the fleet must send it to the others, at most the given
+// number of accounts.
 func (p *plugin) heaviest(rates map[string]float64, parts, most int) []kernel.Demand {
 	var list []kernel.Demand
 	for account, rate := range rates {
 		a, known := p.accounts[account]
-		if known && rate >= heavyPart*a.Rate/float64(max(parts, 1)) {
+		if known && rate >= heavyFraction*a.Rate/float64(max(parts, 1)) {
 			list = append(list, kernel.Demand{Account: account, Rate: rate})
 		}
 	}
@@ -320,10 +322,10 @@
 	return list
 }
 
-// take notes what a peer or scope tells.
-func take(now time.Time, book rates.Book, name string, demands []kernel.Demand) {
+// record stores the demands that a peer or scope sent.
+func record(now time.Time, table rates.Table, name string, demands []kernel.Demand) {
 	for _, d := range demands {
-		book.Hear(now, name, d.Account, d.Rate)
+		table.Set(now, name, d.Account, d.Rate)
 	}
 }
 
--- a/internal/rates/decayed.go
+++ b/internal/rates/decayed.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Decayed is a count that forgets.
+// Decayed is an exponentially decaying count.
 type Decayed struct {
-	// Memory is the time over which it forgets all but a third.
+	// Memory is the time constant: the time in which the count decays to about a
+	// third.
 	Memory time.Duration
 
 	value float64
@@ -22,5 +23,5 @@
 	return d.value * math.Exp(-now.Sub(d.at).Seconds()/d.Memory.Seconds())
 }
 
-// Add counts one more.
+// Add increments the count.
 func (d *Decayed) Add(now time.Time) { d.value, d.at = d.Get(now)+1, now }
--- a/internal/rates/rates.go
+++ b/internal/rates/rates.go
@@ -1,5 +1,5 @@
-// Package rates keeps what nodes tell each other of demand: how much of
-// something is asked for in a second, and when that was said.
+// Package rates stores the demand that nodes report to each other: rates per
+// second, and when they were reported.
 package rates
 
 import (
@@ -8,46 +8,47 @@
 )
 
 type (
-	// Told is a rate and when it was told.
-	Told struct {
+	// Sample is a rate and when it was reported.
+	Sample struct {
 		Rate float64
 		At   time.Time
 	}
 
-	// Book holds what was told, by the node or scope that it was told by, or to,
-	// and by the name of what is asked for.
-	Book map[string]map[string]Told
+	// Table holds samples by the node or scope that sent or received them, and by
+	// the name of what is requested.
+	Table map[string]map[string]Sample
 )
 
-// Of returns what was told by, or to, a node; what is written there stays.
-func (b Book) Of(node string) map[string]Told {
-	if b[node] == nil {
-		b[node] = map[string]Told{}
+// Row returns the samples that a node sent or received. Changes to the map are
+// kept.
+func (t Table) Row(node string) map[string]Sample {
+	if t[node] == nil {
+		t[node] = map[string]Sample{}
 	}
-	return b[node]
+	return t[node]
 }
 
-// Reset forgets what was told by, or to, a node.
-func (b Book) Reset(node string) { b[node] = map[string]Told{} }
+// Reset removes the samples of a node.
+func (t Table) Reset(node string) { t[node] = map[string]Sample{} }
 
-// Hear notes what a node tells; a rate of 0 is none.
-func (b Book) Hear(now time.Time, node, name string, rate float64) {
+// Set stores a rate that a node sent; a rate of 0 removes the sample.
+func (t Table) Set(now time.Time, node, name string, rate float64) {
 	if rate <= 0 {
-		delete(b[node], name)
+		delete(t[node], name)
 		return
 	}
-	b.Of(node)[name] = Told{Rate: rate, At: now}
+	t.Row(node)[name] = Sample{Rate: rate, At: now}
 }
 
-// Sum adds all that was told to sums, and forgets what is stale.
-func (b Book) Sum(now time.Time, sums map[string]float64, stale time.Duration) {
-	for node, told := range b {
-		maps.DeleteFunc(told, func(_ string, t Told) bool { return now.Sub(t.At) >= stale })
-		for name, t := range told {
-			sums[name] += t.Rate
+// Sum removes samples that are as old as stale and adds the others to sums.
+func (t Table) Sum(now time.Time, sums map[string]float64, stale time.Duration) {
+	for node, samples := range t {
+		maps.DeleteFunc(samples, func(_ string, s Sample) bool { return now.Sub(s.At) >= stale })
+		for name, s := range samples {
+			sums[name] += s.Rate
 		}
-		if len(told) == 0 {
-			delete(b, node)
+		if len(samples) == 0 {
+			delete(t, node)
 		}
 	}
 }
