--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget bounds how often requests are sent to a service once more,
-// over the whole fleet, though each node sees only its own part.
+// Package budget limits retries to a service across the fleet, although each node
+// sees only its own part of the requests.
 package budget
 
 import (
@@ -8,26 +8,26 @@
 )
 
 const (
-	// margin is the part of the fleet's budget that is used at all. The rest
-	// covers that nodes count their windows at different moments.
+	// margin is the fraction of the fleet's budget that is used. The rest allows
+	// for windows that start at different times on different nodes.
 	margin = 0.8
-	// buckets is how finely the window slides.
+	// buckets is the number of steps in which the window slides.
 	buckets = 10
 )
 
 type (
-	// Config is the settings of a Budget.
+	// Config configures a Budget.
 	Config struct {
-		// Ratio and Slack bound the repeats in a Window: Ratio of the
-		// service's requests, plus Slack.
+		// Ratio and Slack limit the retries in a Window to Ratio times the
+		// service's requests plus Slack.
 		Ratio  float64
 		Window time.Duration
 		Slack  int
-		// Nodes returns how many nodes share the slack.
+		// Nodes returns the number of nodes that share Slack.
 		Nodes func() int
 	}
 
-	// Budget counts requests and repeats of each service.
+	// Budget counts requests and retries of each service.
 	Budget struct {
 		config   Config
 		start    time.Time
@@ -35,39 +35,39 @@
 		services map[string]*window
 	}
 
-	// window counts by the bucket of time; the oldest bucket is only partly
-	// within the window and still counts.
+	// window counts per time bucket. The oldest bucket is only partly within the
+	// window but still counts.
 	window struct {
-		first    [buckets + 1]int
-		repeated [buckets + 1]int
+		requests [buckets + 1]int
+		retries  [buckets + 1]int
 		bucket   int64
 	}
 )
 
-// New returns a budget that nothing has been taken from.
+// New returns an unused budget.
 func New(c Config) *Budget {
 	return &Budget{config: c, start: time.Now(), services: map[string]*window{}}
 }
 
-// Request counts a request of a caller for a service.
+// Request counts a caller's request for a service.
 func (b *Budget) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
-	w.first[w.slot()]++
+	w.requests[w.slot()]++
 }
 
-// Repeat takes one repeat from the budget, or reports that there is none left.
+// Repeat takes one retry from the budget, or returns false if none is left.
 func (b *Budget) Repeat(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
 	slack := float64(b.config.Slack) / float64(max(b.config.Nodes(), 1))
-	allowed := margin * (b.config.Ratio*float64(sum(w.first)) + slack)
-	if float64(sum(w.repeated)+1) > allowed {
+	allowed := margin * (b.config.Ratio*float64(sum(w.requests)) + slack)
+	if float64(sum(w.retries)+1) > allowed {
 		return false
 	}
-	w.repeated[w.slot()]++
+	w.retries[w.slot()]++
 	return true
 }
 
@@ -77,11 +77,11 @@
 		w = &window{}
 		b.services[service] = w
 	}
-	// The time since the start is steady; the time of day may jump.
+	// The time since the start is monotonic; the time of day may jump.
 	bucket := int64(now.Sub(b.start) / (b.config.Window / buckets))
 	for range min(bucket-w.bucket, buckets+1) {
 		w.bucket++
-		w.first[w.slot()], w.repeated[w.slot()] = 0, 0
+		w.requests[w.slot()], w.retries[w.slot()] = 0, 0
 	}
 	w.bucket = max(w.bucket, bucket)
 	return w
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -10,20 +10,20 @@
 	"bulrushhinge.example/bulrushhinge/internal/budget"
 )
 
-// Guards against this failure: a service in trouble gets twice its requests.
+// Guards against retries that double the requests of a service in trouble.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, slack = 10 * time.Second, 0.2, 56
 		nodes := rapid.IntRange(1, 8).Draw(t, "nodes")
-		var list []*budget.Budget
+		var budgets []*budget.Budget
 		for range nodes {
-			list = append(list, budget.New(budget.Config{Ratio: ratio, Window: window, Slack: slack, Nodes: func() int { return nodes }}))
+			budgets = append(budgets, budget.New(budget.Config{Ratio: ratio, Window: window, Slack: slack, Nodes: func() int { return nodes }}))
 		}
 		now := time.Now()
 		var requests, repeats []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			b := list[rapid.IntRange(0, nodes-1).Draw(t, "node")]
+			b := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "repeat") {
 				if b.Repeat(now, "s") {
 					repeats = append(repeats, now)
@@ -34,14 +34,14 @@
 			requests = append(requests, now)
 		}
 		for _, end := range repeats {
-			if n := within(repeats, end, window); float64(n) > ratio*float64(within(requests, end, window+window/10))+slack {
+			if n := countWithin(repeats, end, window); float64(n) > ratio*float64(countWithin(requests, end, window+window/10))+slack {
 				t.Fatalf("%d repeats", n)
 			}
 		}
 	})
 }
 
-func within(list []time.Time, end time.Time, window time.Duration) int {
+func countWithin(list []time.Time, end time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range list {
 		if !at.After(end) && end.Sub(at) < window {
@@ -51,7 +51,7 @@
 	return n
 }
 
-func TestBudgetIsThereAgainAfterTheWindow(t *testing.T) {
+func TestBudgetRecoversAfterWindow(t *testing.T) {
 	b := budget.New(budget.Config{Ratio: 0.2, Window: time.Second, Slack: 10, Nodes: func() int { return 1 }})
 	now := time.Now()
 	taken := 0
--- a/internal/poison/lease.go
+++ b/internal/poison/lease.go
@@ -8,32 +8,34 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// DefaultCooldown is how long a request that ran on a dying endpoint waits
-// before it runs again, so that all nodes have heard of the death by then.
+// DefaultCooldown is how long a request that ran on an endpoint that died waits
+// before it may run again, so that all nodes have received the report of the death
+// by then.
 const DefaultCooldown = 2 * time.Second
 
-// goneFor is how long after its return a message that asks for a lease may
-// arrive.
-const goneFor = 10 * time.Second
+// tombstoneTTL is how long a lease request may arrive after the release of its
+// lease.
+const tombstoneTTL = 10 * time.Second
 
 type (
 	// Lease is the right to run a suspected request.
 	Lease struct {
-		// Print identifies the request, ID the holder.
+		// Print is the fingerprint of the request, ID identifies the holder.
 		Print uint64
 		ID    uint64
-		// Duration is how long the lease lasts unless it is given back.
+		// Duration is how long the lease lasts unless it is released.
 		Duration time.Duration
 	}
 
-	// Leases grants at most one lease for each suspected request whose holder
-	// the node is. It is safe for concurrent use.
+	// Leases grants at most one lease at a time for each suspected request that the
+	// node is responsible for (see Holder). It is safe for concurrent use.
 	Leases struct {
 		mu       sync.Mutex
 		cooldown time.Duration
 		held     map[uint64]held
-		// gone is when leases were given back that were not held.
-		gone map[uint64]time.Time
+		// tombstones holds the IDs of leases that were released while not held, and
+		// until when they are not granted.
+		tombstones map[uint64]time.Time
 	}
 
 	held struct {
@@ -42,21 +44,21 @@
 	}
 )
 
-// NewLeases returns Leases with the given cooldown; zero is the default.
+// NewLeases returns Leases with the given cooldown; zero is DefaultCooldown.
 func NewLeases(cooldown time.Duration) *Leases {
 	if cooldown == 0 {
 		cooldown = DefaultCooldown
 	}
-	return &Leases{cooldown: cooldown, held: map[uint64]held{}, gone: map[uint64]time.Time{}}
+	return &Leases{cooldown: cooldown, held: map[uint64]held{}, tombstones: map[uint64]time.Time{}}
 }
 
-// Acquire grants a lease, or reports false where another holds it or the
-// request cools down.
+// Acquire grants a lease. It returns false if another holder has it, if it was
+// released already, or during the cooldown after a death.
 func (l *Leases) Acquire(now time.Time, lease Lease) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	if _, gone := l.gone[lease.ID]; gone {
+	if _, released := l.tombstones[lease.ID]; released {
 		return false
 	}
 	if h, ok := l.held[lease.Print]; ok {
@@ -66,16 +68,18 @@
 	return true
 }
 
-// Release gives a lease back. Where the endpoint died, the request cools down.
+// Release releases a lease. If the endpoint died, the cooldown of the request
+// starts.
 //
-// A lease may be given back before the message that asks for it arrives; it
-// would then be held by nobody until its time ends, and the request would wait
-// for it until its deadline. Such a lease is therefore not granted later.
+// A lease may be released before the message that requests it arrives. If it were
+// granted then, it would be held by nobody until its time ends, and the request
+// would wait for it until its deadline. Such a lease is therefore not granted
+// later.
 func (l *Leases) Release(now time.Time, lease Lease, died bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h, ok := l.held[lease.Print]; !ok || h.id != lease.ID {
-		l.gone[lease.ID] = now.Add(goneFor)
+		l.tombstones[lease.ID] = now.Add(tombstoneTTL)
 		return
 	}
 	delete(l.held, lease.Print)
@@ -90,9 +94,9 @@
 			delete(l.held, print)
 		}
 	}
-	for id, until := range l.gone {
+	for id, until := range l.tombstones {
 		if now.After(until) {
-			delete(l.gone, id)
+			delete(l.tombstones, id)
 		}
 	}
 }
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -1,12 +1,12 @@
-// Package poison is the kernel's plug-in that finds requests which crash the
+// Package poison is the kernel plug-in that finds requests which crash the
 // endpoints that run them.
 //
-// What goes wrong without it: one request crashes its engine, is retried on the
-// next and crashes that too, and its caller sends it again to other nodes, until
-// no engine is left. One notices endpoints that die one after another while the
-// same request runs. Here nodes tell each other which requests ran on an
-// endpoint that died; such a request runs at one endpoint of the fleet at a
-// time, and after three it runs no more.
+// Without it, one request can crash all engines: it crashes its engine, is retried
+// on the next and crashes that too, and its caller sends it again to other nodes.
+// Such a request shows in endpoints that die one after another while it runs. Nodes
+// therefore report to each other which requests ran on an endpoint that died. Such
+// a request runs at one endpoint of the fleet at a time, and after three deaths it
+// is isolated and runs no more.
 package poison
 
 import (
@@ -23,40 +23,40 @@
 
 // Defaults of a Config.
 const (
-	// DefaultKeep is how long after the last death a request stays suspected
-	// or isolated.
-	DefaultKeep = 10 * time.Minute
-	// DefaultSpread is how long a change is repeated in heartbeats.
-	DefaultSpread = 10 * time.Second
-	// DefaultMemory is how many requests are remembered.
-	DefaultMemory = 4096
-	// DefaultBeat is how many requests one heartbeat carries.
-	DefaultBeat = 32
+	// DefaultTTL is how long a request stays suspected or isolated after the last
+	// death.
+	DefaultTTL = 10 * time.Minute
+	// DefaultGossipTime is how long heartbeats repeat a change.
+	DefaultGossipTime = 10 * time.Second
+	// DefaultMaxEntries is how many requests are remembered.
+	DefaultMaxEntries = 4096
+	// DefaultMaxPerHeartbeat is how many requests one heartbeat carries.
+	DefaultMaxPerHeartbeat = 32
 )
 
 type (
-	// Died is an endpoint that died while it ran a request.
+	// Died reports an endpoint that died while it ran a request.
 	Died struct {
 		Print    uint64
 		Endpoint string
 	}
 
-	// Config is the settings of the plug-in. Zero settings take their defaults.
+	// Config configures the plug-in. Zero settings take their defaults.
 	Config struct {
-		Keep   time.Duration
-		Spread time.Duration
-		Memory int
-		Beat   int
+		TTL             time.Duration
+		GossipTime      time.Duration
+		MaxEntries      int
+		MaxPerHeartbeat int
 	}
 
 	extension struct{ config Config }
 
 	entry struct {
 		suspect kernel.Suspicion
-		// last is when the last endpoint died, on this node's clock.
-		last time.Time
-		// learned is when the node last learned of a death.
-		learned time.Time
+		// lastDeath is when the last endpoint died, on this node's clock.
+		lastDeath time.Time
+		// learnedAt is when the node last learned of a death.
+		learnedAt time.Time
 	}
 
 	plugin struct {
@@ -65,9 +65,9 @@
 	}
 )
 
-// Print returns what identifies a request over the whole fleet: a digest of its
-// client account and content. It is cryptographic, so that no account can make
-// a request that is taken for another's.
+// Print returns the fingerprint of a request, which identifies it across the fleet:
+// a hash of its client account and content. The hash is cryptographic, so that no
+// account can craft a request that is taken for another account's.
 func Print(account string, content ...[]byte) uint64 {
 	digest := sha256.New()
 	size := make([]byte, binary.MaxVarintLen64)
@@ -80,10 +80,10 @@
 
 // New returns the extension that registers the plug-in.
 func New(c Config) kernel.Extension {
-	c.Keep = cmp.Or(c.Keep, DefaultKeep)
-	c.Spread = cmp.Or(c.Spread, DefaultSpread)
-	c.Memory = cmp.Or(c.Memory, DefaultMemory)
-	c.Beat = cmp.Or(c.Beat, DefaultBeat)
+	c.TTL = cmp.Or(c.TTL, DefaultTTL)
+	c.GossipTime = cmp.Or(c.GossipTime, DefaultGossipTime)
+	c.MaxEntries = cmp.Or(c.MaxEntries, DefaultMaxEntries)
+	c.MaxPerHeartbeat = cmp.Or(c.MaxPerHeartbeat, DefaultMaxPerHeartbeat)
 	return extension{config: c}
 }
 
@@ -92,7 +92,7 @@
 	k.Register(&plugin{config: e.config, entries: map[uint64]entry{}}, kernel.PriorityPoison)
 }
 
-// Handle takes deaths that the node saw or was told of.
+// Handle records deaths that the node saw or received from a peer.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case Died:
@@ -106,7 +106,7 @@
 	}
 }
 
-// Publish writes the suspected requests.
+// Publish adds the suspected requests to the view.
 func (p *plugin) Publish(_ time.Time, v *kernel.View) {
 	if len(p.entries) == 0 {
 		return
@@ -117,72 +117,73 @@
 	}
 }
 
-// Beat tells peers what was learned of late, the most suspected first. Every
-// node passes on what it learned, so that the news also crosses nodes that
-// exchange no heartbeats with each other.
+// Beat sends what was learned within the gossip time, the most suspected first.
+// Every node passes on what it learned, so that it also reaches nodes that exchange
+// no heartbeats with the source.
 func (p *plugin) Beat(now time.Time, _ string, b *kernel.Beat) {
-	fresh := p.sorted(func(e entry) bool { return now.Sub(e.learned) < p.config.Spread })
-	for _, e := range fresh[:min(len(fresh), p.config.Beat)] {
+	recent := p.sortedEntries(func(e entry) bool { return now.Sub(e.learnedAt) < p.config.GossipTime })
+	for _, e := range recent[:min(len(recent), p.config.MaxPerHeartbeat)] {
 		s := e.suspect
-		s.Age = now.Sub(e.last)
+		s.Age = now.Sub(e.lastDeath)
 		b.Suspects = append(b.Suspects, s)
 	}
 }
 
-// Dump shows the suspected requests.
+// Dump returns the suspected requests.
 func (p *plugin) Dump(now time.Time) (name string, state any) {
 	suspects := make(map[string]kernel.Suspicion, len(p.entries))
 	for print, e := range p.entries {
-		e.suspect.Age = now.Sub(e.last)
+		e.suspect.Age = now.Sub(e.lastDeath)
 		suspects[strconv.FormatUint(print, 16)] = e.suspect
 	}
 	return "poison", suspects
 }
 
-// merge adds what one message tells of a request. The age comes with it, so that
-// an entry ends at the same time on all nodes and no two keep reviving it.
+// merge adds what one message reports about a request. The age is part of the
+// report, so that an entry expires at the same time on all nodes and no two nodes
+// keep reviving it.
 func (p *plugin) merge(now time.Time, s kernel.Suspicion, out *kernel.Output) {
-	if s.Age < 0 || s.Age >= p.config.Keep || len(s.Endpoints) == 0 {
+	if s.Age < 0 || s.Age >= p.config.TTL || len(s.Endpoints) == 0 {
 		return
 	}
 	e, known := p.entries[s.Print]
 	if !known {
 		e.suspect.Print = s.Print
-		p.makeRoom()
+		p.evict()
 	}
-	merged, more := e.suspect.Merge(s.Endpoints)
-	if !more {
+	merged, changed := e.suspect.Merge(s.Endpoints)
+	if !changed {
 		return
 	}
 	e.suspect = merged
-	if last := now.Add(-s.Age); last.After(e.last) {
-		e.last = last
+	if last := now.Add(-s.Age); last.After(e.lastDeath) {
+		e.lastDeath = last
 	}
-	e.learned = now
+	e.learnedAt = now
 	p.entries[s.Print] = e
 	out.Changed()
 }
 
 func (p *plugin) expire(now time.Time, out *kernel.Output) {
 	for print, e := range p.entries {
-		if now.Sub(e.last) >= p.config.Keep {
+		if now.Sub(e.lastDeath) >= p.config.TTL {
 			delete(p.entries, print)
 			out.Changed()
 		}
 	}
 }
 
-// makeRoom evicts the least suspected and oldest entry of a full table.
-func (p *plugin) makeRoom() {
-	if len(p.entries) < p.config.Memory {
+// evict removes the least suspected and oldest entry of a full table.
+func (p *plugin) evict() {
+	if len(p.entries) < p.config.MaxEntries {
 		return
 	}
-	all := p.sorted(func(entry) bool { return true })
+	all := p.sortedEntries(func(entry) bool { return true })
 	delete(p.entries, all[len(all)-1].suspect.Print)
 }
 
-// sorted returns the entries that f keeps: most endpoints first, then newest.
-func (p *plugin) sorted(f func(entry) bool) []entry {
+// sortedEntries returns the entries that f keeps: most endpoints first, then newest.
+func (p *plugin) sortedEntries(f func(entry) bool) []entry {
 	var list []entry
 	for _, e := range slices.Collect(maps.Values(p.entries)) {
 		if f(e) {
@@ -192,7 +193,7 @@
 	slices.SortFunc(list, func(a, b entry) int {
 		return cmp.Or(
 			len(b.suspect.Endpoints)-len(a.suspect.Endpoints),
-			b.last.Compare(a.last),
+			b.lastDeath.Compare(a.lastDeath),
 			cmp.Compare(a.suspect.Print, b.suspect.Print),
 		)
 	})
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -11,50 +11,50 @@
 	"bulrushhinge.example/bulrushhinge/internal/poison"
 )
 
-// begin is when the tests' virtual time begins.
-var begin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+// start is when the tests' virtual time starts.
+var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newKernel(name string, c poison.Config) *kernel.Kernel {
 	return kernel.New(kernel.Config{Self: kernel.Node{Name: name}, Extensions: []kernel.Extension{poison.New(c)}})
 }
 
-// tell carries one heartbeat between two kernels.
-func tell(now time.Time, from, to *kernel.Kernel) {
+// sendHeartbeat delivers one heartbeat from one kernel to another.
+func sendHeartbeat(now time.Time, from, to *kernel.Kernel) {
 	to.Step(now, kernel.BeatReceived{Beat: from.Beat(now, to.Self().Name)})
 }
 
-// Guards against this failure: a request crashes one engine after another at a different node
-// each.
-func TestDeathsAddUpAcrossNodes(t *testing.T) {
+// Guards against a request that crashes one engine after another, each at a
+// different node, because no node counts the deaths that others saw.
+func TestDeathsOnDifferentNodesAddUp(t *testing.T) {
 	var nodes []*kernel.Kernel
 	for i := range 8 {
 		nodes = append(nodes, newKernel(fmt.Sprint(i), poison.Config{}))
 	}
 	for i := range kernel.IsolateAfter {
-		nodes[i].Step(begin, poison.Died{Print: 7, Endpoint: fmt.Sprintf("w%d", i)})
+		nodes[i].Step(start, poison.Died{Print: 7, Endpoint: fmt.Sprintf("w%d", i)})
 	}
 	require.False(t, nodes[0].View().Suspects[7].Isolated())
 	for _, from := range nodes {
 		for _, to := range nodes {
-			tell(begin, from, to)
-			tell(begin, from, to)
+			sendHeartbeat(start, from, to)
+			sendHeartbeat(start, from, to)
 		}
 	}
 	for _, k := range nodes {
-		require.Len(t, k.View().Suspects[7].Endpoints, kernel.IsolateAfter, "repeated news counts once")
+		require.Len(t, k.View().Suspects[7].Endpoints, kernel.IsolateAfter, "a repeated report counts once")
 		require.True(t, k.View().Suspects[7].Isolated())
 	}
 }
 
-// Guards against this failure: a request stays isolated forever.
-func TestSuspicionEndsEverywhere(t *testing.T) {
-	a, b := newKernel("a", poison.Config{Keep: time.Minute, Spread: time.Hour}), newKernel("b", poison.Config{Keep: time.Minute, Spread: time.Hour})
-	a.Step(begin, poison.Died{Print: 7, Endpoint: "w1"})
-	now := begin
-	for now.Before(begin.Add(2 * time.Minute)) {
+// Guards against a request that stays isolated forever.
+func TestSuspicionExpiresOnAllNodes(t *testing.T) {
+	a, b := newKernel("a", poison.Config{TTL: time.Minute, GossipTime: time.Hour}), newKernel("b", poison.Config{TTL: time.Minute, GossipTime: time.Hour})
+	a.Step(start, poison.Died{Print: 7, Endpoint: "w1"})
+	now := start
+	for now.Before(start.Add(2 * time.Minute)) {
 		now = now.Add(700 * time.Millisecond)
-		tell(now, a, b)
-		tell(now, b, a)
+		sendHeartbeat(now, a, b)
+		sendHeartbeat(now, b, a)
 		a.Step(now, kernel.Tick{})
 		b.Step(now.Add(300*time.Millisecond), kernel.Tick{})
 	}
@@ -63,57 +63,57 @@
 }
 
 func TestTableAndHeartbeatsAreBounded(t *testing.T) {
-	k := newKernel("a", poison.Config{Memory: 100, Beat: 5})
+	k := newKernel("a", poison.Config{MaxEntries: 100, MaxPerHeartbeat: 5})
 	for i := range kernel.IsolateAfter {
-		k.Step(begin, poison.Died{Print: 1, Endpoint: fmt.Sprint(i)})
+		k.Step(start, poison.Died{Print: 1, Endpoint: fmt.Sprint(i)})
 	}
 	for i := range 1000 {
-		k.Step(begin.Add(time.Duration(i)), poison.Died{Print: uint64(i + 2), Endpoint: "w1"})
+		k.Step(start.Add(time.Duration(i)), poison.Died{Print: uint64(i + 2), Endpoint: "w1"})
 	}
 	require.Len(t, k.View().Suspects, 100)
 	require.True(t, k.View().Suspects[1].Isolated(), "the least suspected are evicted first")
-	beat := k.Beat(begin, "b")
+	beat := k.Beat(start, "b")
 	require.Len(t, beat.Suspects, 5)
 	require.EqualValues(t, 1, beat.Suspects[0].Print)
-	require.Empty(t, k.Beat(begin.Add(poison.DefaultSpread+time.Second), "b").Suspects)
+	require.Empty(t, k.Beat(start.Add(poison.DefaultGossipTime+time.Second), "b").Suspects)
 }
 
-func TestPrintsTellRequestsApart(t *testing.T) {
-	prints := map[uint64]bool{}
+func TestFingerprintsDiffer(t *testing.T) {
+	seen := map[uint64]bool{}
 	for _, p := range []uint64{
 		poison.Print("a1", []byte("x")), poison.Print("a2", []byte("x")), poison.Print("a1", []byte("y")),
 		poison.Print("a1", []byte("x"), nil), poison.Print("a1x"), poison.Print("a1", []byte("xy")), poison.Print("a1", []byte("x"), []byte("y")),
 	} {
-		require.False(t, prints[p])
-		prints[p] = true
+		require.False(t, seen[p])
+		seen[p] = true
 	}
 	require.Equal(t, poison.Print("a1", []byte("x")), poison.Print("a1", []byte("x")))
 }
 
-// Guards against this failure: a suspected request runs at two endpoints at a time, or never
+// Guards against a suspected request that runs at two endpoints at a time, or never
 // again.
 func TestOneLeaseAtATime(t *testing.T) {
 	l := poison.NewLeases(0)
 	first := poison.Lease{Print: 7, ID: 1, Duration: time.Minute}
 	second := poison.Lease{Print: 7, ID: 2, Duration: time.Minute}
-	require.True(t, l.Acquire(begin, first))
-	require.True(t, l.Acquire(begin, first), "asked again after a lost answer")
-	require.False(t, l.Acquire(begin, second))
-	require.True(t, l.Acquire(begin, poison.Lease{Print: 8, ID: 3, Duration: time.Minute}))
-	l.Release(begin, second, false)
-	require.False(t, l.Acquire(begin, second), "only the holder gives it back")
-	l.Release(begin, first, true)
-	require.False(t, l.Acquire(begin, second), "it cools down after a death")
-	now := begin.Add(poison.DefaultCooldown + time.Millisecond)
-	require.False(t, l.Acquire(now, second), "given back before it was asked for, it is never held")
+	require.True(t, l.Acquire(start, first))
+	require.True(t, l.Acquire(start, first), "requested again after a lost answer")
+	require.False(t, l.Acquire(start, second))
+	require.True(t, l.Acquire(start, poison.Lease{Print: 8, ID: 3, Duration: time.Minute}))
+	l.Release(start, second, false)
+	require.False(t, l.Acquire(start, second), "only the holder releases it")
+	l.Release(start, first, true)
+	require.False(t, l.Acquire(start, second), "cooldown after a death")
+	now := start.Add(poison.DefaultCooldown + time.Millisecond)
+	require.False(t, l.Acquire(now, second), "released before it was requested")
 	third := poison.Lease{Print: 7, ID: 4, Duration: time.Minute}
 	require.True(t, l.Acquire(now, third))
 	require.False(t, l.Acquire(now, first))
 	now = now.Add(time.Minute + time.Millisecond)
-	require.True(t, l.Acquire(now, poison.Lease{Print: 7, ID: 5, Duration: time.Minute}), "the lease of a dead holder ends")
+	require.True(t, l.Acquire(now, poison.Lease{Print: 7, ID: 5, Duration: time.Minute}), "the lease of a dead holder expires")
 }
 
-func TestHolderIsLiveAndEqualForAll(t *testing.T) {
+func TestHolderIsLive(t *testing.T) {
 	nodes := []kernel.Node{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}}
 	holder, ok := poison.Holder(7, nodes)
 	require.True(t, ok)
--- a/internal/policy/baseline.go
+++ b/internal/policy/baseline.go
@@ -12,12 +12,12 @@
 
 type (
 	// roundRobin takes the endpoints of a service in turn.
-	roundRobin struct{ turn int }
+	roundRobin struct{ next int }
 
-	// twoChoices draws two endpoints and takes the one that reported less load.
+	// twoChoices takes the one of two random endpoints that reported less load.
 	twoChoices struct{ random *rand.Rand }
 
-	// chatHash takes the chat's rendezvous order.
+	// chatHash takes the endpoints in the chat's rendezvous order.
 	chatHash struct{}
 
 	// boundedHash takes the first endpoint of the chat's rendezvous order whose
@@ -25,18 +25,19 @@
 	boundedHash struct{}
 )
 
-// Rank returns the endpoints from the next turn on.
+// Rank returns the endpoints in order, starting with the next one.
 func (p *roundRobin) Rank(_ time.Time, pool *kernel.Pool, _ route.Request) []int {
 	list := route.Candidates(pool)
 	if len(list) == 0 {
 		return nil
 	}
-	p.turn++
-	first := p.turn % len(list)
+	p.next++
+	first := p.next % len(list)
 	return slices.Concat(list[first:], list[:first])
 }
 
-// Rank returns the less loaded of two endpoints first.
+// Rank returns the endpoints in random order, but the less loaded one of the first
+// two first.
 func (p *twoChoices) Rank(_ time.Time, pool *kernel.Pool, _ route.Request) []int {
 	list := route.Candidates(pool)
 	p.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -61,12 +62,12 @@
 	list := chatHash{}.Rank(now, pool, r)
 	limit := pool.Bound * float64(pool.Total.Requests+1) / float64(max(pool.Live, 1))
 	slices.SortStableFunc(list, func(a, b int) int {
-		return cmp.Compare(over(pool.Endpoints[a], limit), over(pool.Endpoints[b], limit))
+		return cmp.Compare(overLimit(pool.Endpoints[a], limit), overLimit(pool.Endpoints[b], limit))
 	})
 	return list
 }
 
-func over(e kernel.Endpoint, limit float64) int {
+func overLimit(e kernel.Endpoint, limit float64) int {
 	if float64(e.Load.Requests+1) > limit {
 		return 1
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names whole sets of decisions, so that a replay can compare
-// them: the present ones, those that a measured change replaced, and the plain
-// methods that they have to beat.
+// Package policy defines named sets of routing and admission decisions, so that a
+// replay can compare them: the current ones, earlier ones that were replaced after
+// a measured comparison, and simple baselines that they must outperform.
 package policy
 
 import (
@@ -12,77 +12,77 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-// Present is the name of the decisions that nodes run.
+// Present is the name of the policy that nodes run.
 const Present = "present"
 
-// ErrUnknown is returned for a name that no policy has.
+// ErrUnknown is returned for an unknown policy name.
 var ErrUnknown = errors.New("policy: unknown")
 
 var policies = []Policy{
 	{
-		Name:   Present,
-		Text:   "what nodes run",
-		Route:  func(*rand.Rand) route.Config { return route.Config{} },
-		Import: true,
+		Name:        Present,
+		Description: "what nodes run",
+		Route:       func(*rand.Rand) route.Config { return route.Config{} },
+		Import:      true,
 	},
 	{
-		Name:  "noimport",
-		Text:  "what nodes run where engines cannot import prefixes",
-		Route: func(*rand.Rand) route.Config { return route.Config{} },
+		Name:        "noimport",
+		Description: "what nodes run where engines cannot import prefixes",
+		Route:       func(*rand.Rand) route.Config { return route.Config{} },
 	},
 	{
-		Name: "ceil",
-		Text: "hints, then hash order; the home bounds requests, rounded up",
+		Name:        "ceil",
+		Description: "hints, then hash order; the owner bounds requests, rounded up",
 		Route: func(*rand.Rand) route.Config {
 			return route.Config{Ranker: route.NewHashRanker(), Memory: 1, Whole: true}
 		},
 		Gate: gate.Config{Rule: gate.NewCeilRule()},
 	},
 	{
-		Name:  "round",
-		Text:  "round robin",
-		Route: func(*rand.Rand) route.Config { return route.Config{Ranker: &roundRobin{}, Open: true} },
-		Poll:  true,
+		Name:        "round",
+		Description: "round robin",
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: &roundRobin{}, Open: true} },
+		Poll:        true,
 	},
 	{
-		Name: "two",
-		Text: "two random choices on lagged load",
+		Name:        "two",
+		Description: "two random choices on lagged load",
 		Route: func(r *rand.Rand) route.Config {
 			return route.Config{Ranker: &twoChoices{random: r}, Open: true}
 		},
 		Poll: true,
 	},
 	{
-		Name:  "hash",
-		Text:  "consistent hashing",
-		Route: func(*rand.Rand) route.Config { return route.Config{Ranker: chatHash{}, Open: true} },
-		Poll:  true,
+		Name:        "hash",
+		Description: "consistent hashing",
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: chatHash{}, Open: true} },
+		Poll:        true,
 	},
 	{
-		Name:  "bounded",
-		Text:  "consistent hashing with bounded lagged load",
-		Route: func(*rand.Rand) route.Config { return route.Config{Ranker: boundedHash{}, Open: true} },
-		Poll:  true,
+		Name:        "bounded",
+		Description: "consistent hashing with bounded lagged load",
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: boundedHash{}, Open: true} },
+		Poll:        true,
 	},
 }
 
 // Policy is a named set of decisions.
 type Policy struct {
 	Name string
-	// Text says in a few words what it is.
-	Text string
-	// Route makes the settings of one node's Router.
+	// Description says in a few words what the policy does.
+	Description string
+	// Route returns the settings of one node's Router.
 	Route func(random *rand.Rand) route.Config
-	// Gate is the settings of each node's Gate.
+	// Gate configures each node's Gate.
 	Gate gate.Config
-	// Import lets prefixes be imported where the trace's engines can.
+	// Import enables the import of prefixes if the trace's engines support it.
 	Import bool
-	// Poll makes every node read the loads of all endpoints, not only of those
-	// whose home it is.
+	// Poll makes every node read the loads of all endpoints, not only of those that
+	// it owns.
 	Poll bool
 }
 
-// All returns every policy, the present one first.
+// All returns every policy, the current one first.
 func All() []Policy { return policies }
 
 // Find returns the policy with the given name.
