--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -38,8 +38,8 @@
 		View func() *kernel.View
 		// Rule bounds the endpoints' loads; nil is NewBoundRule.
 		Rule Rule
-		// RetryRule is the Rule for requests that other owners have denied before; nil
-		// is the whole bound, or Rule if that is set.
+		// RetryRule is the Rule for requests that other owners have denied before;
+		// nil is the whole bound, or Rule if that is set.
 		//
 		// The margin of Rule keeps loads even while other endpoints have room. If
 		// hardly any has, it would keep the fleet from following its demand: the
--- a/internal/gate/overload_test.go
+++ b/internal/gate/overload_test.go
@@ -138,7 +138,7 @@
 	p := newOverload()
 	p.run(callers, seconds*time.Second)
 	share := float64(p.completed) / capacity / seconds
-	t.Logf("%d callers: goodput %.0f%% of capacity; %d whole, %d wasted, %d refused", callers, 100*share, p.completed, p.wasted, p.refused)
+	t.Logf("%d callers: goodput %.0f%% of capacity; %d completed, %d wasted, %d refused", callers, 100*share, p.completed, p.wasted, p.refused)
 	require.Greater(t, share, 0.8)
 	require.Less(t, p.wasted, p.completed/2)
 
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -31,7 +31,7 @@
 	request struct {
 		entry   *limit.Entry
 		account string
-		asked   time.Time
+		arrived time.Time
 		until   time.Time
 	}
 
@@ -126,7 +126,7 @@
 
 func (f *fleet) ask(n *node, account string) {
 	entry := n.limiter.Offer(f.now, limit.Ask{Account: account, Tokens: requestSize, Deadline: f.now.Add(requestTimeout)})
-	n.waiting = append(n.waiting, &request{entry: entry, account: account, asked: f.now})
+	n.waiting = append(n.waiting, &request{entry: entry, account: account, arrived: f.now})
 }
 
 func (f *fleet) poll(n *node) {
@@ -136,7 +136,7 @@
 			still = append(still, r)
 			continue
 		}
-		waited := f.now.Sub(r.asked)
+		waited := f.now.Sub(r.arrived)
 		step := r.entry.Poll(f.now)
 		switch step.Kind {
 		case limit.StepGo:
--- a/internal/rates/rates_test.go
+++ b/internal/rates/rates_test.go
@@ -46,8 +46,8 @@
 			sums := map[string]float64{"own": 1}
 			b.Sum(now, sums, stale)
 			require.Equal(t, c.want, sums)
-			for _, told := range b {
-				require.NotEmpty(t, told)
+			for _, samples := range b {
+				require.NotEmpty(t, samples)
 			}
 		})
 	}
