--- a/internal/mark/mark.go
+++ b/internal/mark/mark.go
@@ -1,6 +1,6 @@
-// Package mark is the kernel's plug-in that spreads leave marks: an instance
-// that is leaving gets no new work from any node within seconds, although only
-// one of them may have heard of it.
+// Package mark is the kernel's plug-in that propagates leave notices: a leaving
+// instance gets no new work from any node within seconds, although only one of
+// them may have received its notice.
 package mark
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	// retention is how long a mark is passed on, also to nodes that join. By
-	// then the platform's list names the instance as leaving or not at all.
+	// retention is how long a notice is passed on, also to nodes that join. By
+	// then the platform's list shows the instance as leaving or not at all.
 	retention = 10 * time.Minute
-	// capacity bounds the marks kept; the oldest make room.
-	capacity = 1024
+	// maxNotices bounds the notices kept; the oldest are dropped.
+	maxNotices = 1024
 )
 
 type (
@@ -25,16 +25,16 @@
 
 	extension struct{}
 
-	entry struct {
-		mark    kernel.Mark
-		learned time.Time
-		// told holds the peers that know the mark.
-		told map[string]bool
+	notice struct {
+		mark      kernel.Mark
+		learnedAt time.Time
+		// knownBy holds the peers that have the notice.
+		knownBy map[string]bool
 	}
 
 	plugin struct {
 		self    kernel.Node
-		entries []*entry
+		notices []*notice
 	}
 )
 
@@ -46,7 +46,7 @@
 	k.Register(&plugin{self: k.Self()}, kernel.PriorityMark)
 }
 
-// Handle takes marks from peers and from the node's other plug-ins.
+// Handle processes notices from peers and from the node's other plug-ins.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.Marked:
@@ -55,10 +55,10 @@
 			out.Raise(kernel.Urgent{})
 		}
 	case kernel.BeatReceived:
-		p.hear(now, ev.Beat, out)
+		p.receive(now, ev.Beat, out)
 	case kernel.BeatFailed:
-		for _, e := range p.entries {
-			delete(e.told, ev.Node)
+		for _, n := range p.notices {
+			delete(n.knownBy, ev.Node)
 		}
 	case kernel.Drain:
 		out.Raise(kernel.Marked{Mark: kernel.Mark{
@@ -72,58 +72,58 @@
 // Publish writes nothing.
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
-// Beat tells a peer the marks that it may not know.
+// Beat adds the notices that a peer may lack to a heartbeat.
 func (p *plugin) Beat(_ time.Time, to string, b *kernel.Beat) {
-	for _, e := range p.entries {
-		if !e.told[to] {
-			e.told[to] = true
-			b.Marks = append(b.Marks, e.mark)
+	for _, n := range p.notices {
+		if !n.knownBy[to] {
+			n.knownBy[to] = true
+			b.Marks = append(b.Marks, n.mark)
 		}
 	}
 }
 
-// Dump shows the marks that are passed on.
+// Dump returns the notices that are passed on.
 func (p *plugin) Dump(time.Time) (name string, state any) {
-	marks := make([]kernel.Mark, len(p.entries))
-	for i, e := range p.entries {
-		marks[i] = e.mark
+	marks := make([]kernel.Mark, len(p.notices))
+	for i, n := range p.notices {
+		marks[i] = n.mark
 	}
 	return "mark", marks
 }
 
-func (p *plugin) hear(now time.Time, b *kernel.Beat, out *kernel.Output) {
+func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
 	for _, m := range b.Marks {
-		e := p.find(m)
-		if e == nil {
-			e = p.add(now, m)
+		n := p.find(m)
+		if n == nil {
+			n = p.add(now, m)
 			out.Raise(kernel.Marked{Mark: m})
 			out.Raise(kernel.Urgent{})
 		}
-		e.told[b.Node] = true
+		n.knownBy[b.Node] = true
 	}
 }
 
-func (p *plugin) find(m kernel.Mark) *entry {
-	for _, e := range p.entries {
-		if e.mark == m {
-			return e
+func (p *plugin) find(m kernel.Mark) *notice {
+	for _, n := range p.notices {
+		if n.mark == m {
+			return n
 		}
 	}
 	return nil
 }
 
-func (p *plugin) add(now time.Time, m kernel.Mark) *entry {
-	e := &entry{mark: m, learned: now, told: map[string]bool{}}
-	p.entries = append(p.entries, e)
-	if len(p.entries) > capacity {
-		p.entries = p.entries[1:]
+func (p *plugin) add(now time.Time, m kernel.Mark) *notice {
+	n := &notice{mark: m, learnedAt: now, knownBy: map[string]bool{}}
+	p.notices = append(p.notices, n)
+	if len(p.notices) > maxNotices {
+		p.notices = p.notices[1:]
 	}
-	return e
+	return n
 }
 
 func (p *plugin) expire(now time.Time) {
-	keep, _ := slices.BinarySearchFunc(p.entries, now.Add(-retention), func(e *entry, t time.Time) int {
-		return cmp.Compare(e.learned.UnixNano(), t.UnixNano())
+	keep, _ := slices.BinarySearchFunc(p.notices, now.Add(-retention), func(n *notice, t time.Time) int {
+		return cmp.Compare(n.learnedAt.UnixNano(), t.UnixNano())
 	})
-	p.entries = slices.Delete(p.entries, 0, keep)
+	p.notices = slices.Delete(p.notices, 0, keep)
 }
