--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is the kernel's plug-in that keeps the platform's instance
-// list. It drops old versions, and passes changes on to peers that do not watch
+// Package roster is the kernel's plug-in that maintains the platform's instance
+// list. It ignores old versions, and passes deltas on to peers that do not watch
 // the platform.
 package roster
 
@@ -12,10 +12,10 @@
 )
 
 const (
-	// newsRetention is how long a change is passed on.
-	newsRetention = 10 * time.Second
-	// versionMemory is how long a version is held against older ones.
-	versionMemory = 30 * time.Second
+	// deltaRetention is how long a delta is passed on.
+	deltaRetention = 10 * time.Second
+	// versionHold is how long a confirmed version takes precedence over older ones.
+	versionHold = 30 * time.Second
 )
 
 type (
@@ -27,14 +27,14 @@
 	plugin struct {
 		list    map[string]kernel.Instance
 		version uint64
-		// newest is the highest version heard of; confirmed is when version was
-		// last read from the platform.
-		newest    uint64
-		confirmed time.Time
-		news      *kernel.News
-		newsAt    time.Time
-		// told is the version each peer was last told.
-		told map[string]uint64
+		// newest is the highest version known to exist; confirmedAt is when version
+		// was last read from the platform.
+		newest      uint64
+		confirmedAt time.Time
+		delta       *kernel.News
+		deltaAt     time.Time
+		// peerVersion is the newest version each peer was sent or has reported.
+		peerVersion map[string]uint64
 	}
 )
 
@@ -43,54 +43,55 @@
 
 // Extend registers the plug-in.
 func (extension) Extend(k *kernel.Kernel) {
-	p := &plugin{list: map[string]kernel.Instance{}, told: map[string]uint64{}}
+	p := &plugin{list: map[string]kernel.Instance{}, peerVersion: map[string]uint64{}}
 	k.Register(p, kernel.PriorityRoster)
 }
 
-// Handle applies readings of the platform and news from peers.
+// Handle applies reads of the platform and deltas from peers.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.Instances:
-		p.read(now, ev, out)
+		p.applyReading(now, ev, out)
 	case kernel.BeatReceived:
-		p.hear(now, ev.Beat, out)
+		p.receive(now, ev.Beat, out)
 	case kernel.BeatFailed:
-		delete(p.told, ev.Node)
+		delete(p.peerVersion, ev.Node)
 	}
 }
 
-// Publish writes which version is applied and which was heard of.
+// Publish sets the applied version and the newest known one in the view.
 func (p *plugin) Publish(_ time.Time, v *kernel.View) {
 	v.Listed = p.version
 	v.ListVersion = p.newest
 }
 
-// Beat tells a peer of the node's cell the newest change once.
+// Beat adds the newest known version to a heartbeat and, once for each peer of
+// the node's cell, the newest delta.
 func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
 	b.ListVersion = p.newest
-	if !b.Near || p.news == nil || now.Sub(p.newsAt) > newsRetention || p.told[to] >= p.news.Version {
+	if !b.Near || p.delta == nil || now.Sub(p.deltaAt) > deltaRetention || p.peerVersion[to] >= p.delta.Version {
 		return
 	}
-	p.told[to] = p.news.Version
-	b.News = p.news
+	p.peerVersion[to] = p.delta.Version
+	b.News = p.delta
 }
 
-// Summarize adds the newest version heard of.
+// Summarize adds the newest known version to a digest.
 func (p *plugin) Summarize(_ time.Time, d *kernel.Digest) { d.ListVersion = p.newest }
 
-// Dump shows the versions.
+// Dump returns the versions and the size of the list.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	return "roster", map[string]any{"version": p.version, "newest": p.newest, "instances": len(p.list)}
 }
 
-// read applies a reading of the platform.
+// applyReading applies a read of the platform.
 //
-// A platform that answers old and new by turns would bring back instances that
-// are gone, and make nodes rehome endpoints at each turn. An older version is
-// therefore ignored while a newer one was confirmed of late; after that the
-// platform's numbering is taken to have started anew.
-func (p *plugin) read(now time.Time, ev kernel.Instances, out *kernel.Output) {
-	if ev.Version < p.version && now.Sub(p.confirmed) < versionMemory {
+// A platform that alternates between old and new answers would bring back removed
+// instances, and make endpoints change owners each time. An older version is
+// therefore ignored while a newer one was confirmed recently; after that the
+// platform's numbering is assumed to have restarted.
+func (p *plugin) applyReading(now time.Time, ev kernel.Instances, out *kernel.Output) {
+	if ev.Version < p.version && now.Sub(p.confirmedAt) < versionHold {
 		return
 	}
 	next := make(map[string]kernel.Instance, len(ev.List))
@@ -100,13 +101,13 @@
 	if ev.Version < p.version {
 		p.newest = ev.Version
 	}
-	p.confirmed = now
-	p.keep(now, p.diff(next, ev.Version))
+	p.confirmedAt = now
+	p.keepDelta(now, p.diff(next, ev.Version))
 	p.list = next
 	p.apply(ev.Version, out)
 }
 
-func (p *plugin) hear(now time.Time, b *kernel.Beat, out *kernel.Output) {
+func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
 	newest := b.ListVersion
 	for _, d := range b.Digests {
 		newest = max(newest, d.ListVersion)
@@ -125,8 +126,8 @@
 	for _, name := range n.Removed {
 		delete(p.list, name)
 	}
-	p.keep(now, n)
-	p.told[b.Node] = n.Version
+	p.keepDelta(now, n)
+	p.peerVersion[b.Node] = n.Version
 	p.apply(n.Version, out)
 }
 
@@ -142,14 +143,14 @@
 	out.Changed()
 }
 
-// keep holds a change to pass on. The first list is no change: it is as large
+// keepDelta keeps a delta to pass on. The first list is no delta: it is as large
 // as the fleet, and a peer without one reads it from the platform.
-func (p *plugin) keep(now time.Time, n *kernel.News) {
+func (p *plugin) keepDelta(now time.Time, n *kernel.News) {
 	if n == nil || n.Base == 0 {
 		return
 	}
-	p.news = n
-	p.newsAt = now
+	p.delta = n
+	p.deltaAt = now
 }
 
 func (p *plugin) diff(next map[string]kernel.Instance, version uint64) *kernel.News {
