--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// digestEvery is how many heartbeats there are to one with a digest: at 330
-	// nodes the digests take some 100 bytes a second.
+	// digestEvery is the number of heartbeats per digest: at 330 nodes digests
+	// take about 100 bytes/s.
 	digestEvery = 8
-	// differPause is the shortest time between two readings of a node for this
-	// reason: a reading settles it, unless an item cannot be read.
-	differPause = 5 * time.Second
-	// differShare is the part of those who know the same as this node that the
-	// others must be for it to read: a few that err need not make all read.
-	differShare = 0.5
+	// rereadInterval is the minimum time between two rereads caused by a digest
+	// mismatch: one read resolves it, unless an item cannot be read.
+	rereadInterval = 5 * time.Second
+	// mismatchRatio is how many nodes, per node that agrees with this one, must
+	// differ before it rereads: a few wrong nodes must not make all others read.
+	mismatchRatio = 0.5
 )
 
-// compare makes the node read the store if many others say that they know
-// something else at the same position.
+// compareDigests makes the node reread the store if many nodes report a
+// different digest for the same position.
 //
-// A node that has once missed a change believes to know all, and takes all later
-// news. Nothing else shows it, for as long as the node runs.
-func (g *Gossip) compare(o *owner, now time.Time) {
+// A node that missed a change considers itself up to date and keeps applying
+// later changes. Only the digest reveals it, for as long as the node runs.
+func (g *Gossip) compareDigests(l *loop, now time.Time) {
 	own := g.config.Book.Record()
 	same, other := 1, 0
-	for _, n := range o.table.nodes {
+	for _, n := range l.table.nodes {
 		switch {
-		case !n.alive || n.digest == 0 || n.digested != own.Position:
+		case !n.alive || n.digest == 0 || n.digestAt != own.Position:
 		case n.digest == own.Digest:
 			same++
 		default:
 			other++
 		}
 	}
-	if float64(other) <= differShare*float64(same) || now.Sub(o.differed) < differPause {
+	if float64(other) <= mismatchRatio*float64(same) || now.Sub(l.rereadAt) < rereadInterval {
 		return
 	}
-	o.differed = now
+	l.rereadAt = now
 	g.config.Log.Event("record.differs", decision.Fields{"epoch": own.Epoch, "revision": own.Revision, "digest": own.Digest, "same": same, "other": other})
 	g.config.Untold()
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -20,154 +20,154 @@
 )
 
 const (
-	// beatInterval is the time between two heartbeats in a small fleet, and
-	// beatPerNode what each further node adds: loads that are older than some
-	// tenths of a second say little about a plain service. From denseNodes on
-	// each node adds beatPerMore: what is urgent goes through relays then, and
-	// 330 nodes send 7 KB/s each for the rest.
-	beatInterval = 100 * time.Millisecond
-	beatPerNode  = 3 * time.Millisecond
-	denseNodes   = 100
-	beatPerMore  = 20 * time.Millisecond
-	// inboxLength bounds the heartbeats that wait; those that come then are lost.
+	// heartbeatInterval is the time between two heartbeats in a small fleet, and
+	// heartbeatPerNode the increase per node: loads older than a few tenths of a
+	// second say little about a plain service. Above largeFleet nodes, each adds
+	// heartbeatPerExtra: relays then carry urgent updates, and with 330 nodes
+	// each one sends 7 KB/s for the rest.
+	heartbeatInterval = 100 * time.Millisecond
+	heartbeatPerNode  = 3 * time.Millisecond
+	largeFleet        = 100
+	heartbeatPerExtra = 20 * time.Millisecond
+	// inboxLength bounds the queued datagrams; further ones are dropped.
 	inboxLength = 256
-	// readers is how many nodes read the store for all: one or two of them
-	// may be cut off without anyone's knowing yet.
-	readers = 3
+	// storeReaders is how many nodes read the store on behalf of all: one or two
+	// may be cut off before the others notice.
+	storeReaders = 3
 )
 
-// ErrStart is returned where the sockets cannot be opened.
+// ErrStart is returned if the sockets cannot be opened.
 var ErrStart = errors.New("gossip: start")
 
 type (
-	// Book is what the node has read of the platform's store.
-	Book interface {
+	// Replica is the node's copy of the platform's store.
+	Replica interface {
 		Snapshot() *deployment.Snapshot
 		Record() *deployment.Record
-		// Past returns large values that were replaced lately.
+		// Past returns large values that were replaced recently.
 		Past() []deployment.Item
 		Apply(ctx context.Context, u deployment.Update)
-		// Access returns whether this node reads the store, and Confirm notes
-		// that a node which does knows nothing newer.
+		// Access returns whether this node reads the store. Confirm records that a
+		// node that reads it has nothing newer.
 		Access() deployment.Access
 		Confirm()
-		// Doubt notes that a node which should read the store cannot.
+		// Doubt records that a node that should read the store cannot.
 		Doubt()
-		// Lapsing returns for how much longer removals may stem from an outage, and
-		// Settling for how much longer the store may lack what it was told before it
-		// was restored.
+		// Lapsing returns how much longer removals may be the result of a store
+		// outage, and Settling how much longer the store may lack data written
+		// before it was restored.
 		Lapsing() time.Duration
 		Settling() time.Duration
-		// Announced returns the endpoints that have said themselves that they leave,
-		// as far as that became known since a time, by the Keys of their starts;
-		// LeavingHeard takes the same from another node.
+		// Announced returns the endpoints that have announced that they leave, as
+		// far as this became known after since, by the Keys of their starts.
+		// LeavingHeard adds those reported by another node.
 		Announced(since time.Time) []uint32
 		LeavingHeard(keys []uint32, source string)
-		// News tells when the store itself has told something new.
+		// News signals an update that came from the store itself.
 		News() <-chan struct{}
 	}
 
-	// Work is what the node's requests are doing.
+	// Work is the state of the node's requests.
 	Work interface {
 		// Active returns this node's requests in progress by endpoint.
 		Active() map[uint32]int
-		// Reading returns the prompt tokens that endpoints are still to read for
-		// them.
+		// Reading returns the prompt tokens of these requests that endpoints have
+		// yet to process.
 		Reading() map[uint32]int
-		// Failures returns this node's attempts that endpoints have failed lately.
+		// Failures returns this node's recently failed attempts by endpoint.
 		Failures(now time.Time) map[uint32]int
-		// Placements returns where this node has sent parts of prompts since a
-		// time, and in the last moments anyhow; Placed takes the same from another
+		// Placements returns where this node has sent parts of prompts after since,
+		// and always the most recent ones. Placed adds those reported by another
 		// node.
 		Placements(now, since time.Time) []balance.Placement
 		Placed(now time.Time, list []balance.Placement)
-		// Reports returns what endpoints have said of their load to this node
-		// since a time, and ReportsHeard takes the same from another node.
+		// Reports returns the loads that endpoints have reported to this node after
+		// since. ReportsHeard adds those reported by another node.
 		Reports(now, since time.Time) map[uint32]int
 		ReportsHeard(now time.Time, list map[uint32]int)
 	}
 
 	// Config is the settings of a Gossip.
 	Config struct {
-		// Self is this node; its State is given by State.
+		// Self is this node; its state is given by State.
 		Self Member
-		// Port is the port for datagrams and calls, the same on all nodes.
+		// Port is the port for datagrams and RPCs, the same on all nodes.
 		Port uint16
 		// Seeds returns the addresses of some nodes; they may be down or stale.
 		Seeds func() []netip.Addr
-		Book  Book
+		Book  Replica
 		// State returns whether this node takes callers.
 		State func() State
 		Work  Work
-		// Crashed takes what other nodes tell of crashes.
+		// Crashed receives the crashes that other nodes report.
 		Crashed func(c Crash)
-		// Untold is called when a peer that knows more could not be asked, or too
-		// many know something else.
+		// Untold is called if the store must be reread: a pull from a peer that is
+		// ahead failed, or too many nodes report a different digest.
 		Untold func()
-		// Relays is how many nodes may tell each other everything themselves;
-		// larger fleets have relays. 0 is relay.Least.
-		Relays int
-		// Metrics counts what the node tells and hears; nil for nowhere.
+		// MaxDirect is the largest fleet in which nodes gossip directly; larger
+		// ones use relays. 0 means relay.MaxDirect.
+		MaxDirect int
+		// Metrics counts traffic and staleness; nil discards them.
 		Metrics *Metrics
 		Log     *decision.Log
 	}
 
-	// Gossip is this node's part of the fleet's membership. One goroutine owns
-	// what it knows.
+	// Gossip is this node's part in the fleet's membership. One goroutine owns
+	// its state.
 	Gossip struct {
 		config  Config
 		socket  *net.UDPConn
-		caller  *caller
+		client  *client
 		server  *server
 		view    atomic.Pointer[View]
-		inbox   chan arrival
+		inbox   chan packet
 		crashes chan Crash
 		cancel  context.CancelFunc
 		running sync.WaitGroup
 	}
 
-	// arrival is a heartbeat, or a summary, and the address that it came from.
-	arrival struct {
-		beat    *heartbeat
-		summary *relay.Summary
-		told    uint64
-		addr    netip.Addr
+	// packet is a received heartbeat or summary and its sender's address.
+	packet struct {
+		heartbeat *heartbeat
+		summary   *relay.Summary
+		sequence  uint64
+		addr      netip.Addr
 	}
 
-	// owner is the control goroutine's state.
-	owner struct {
+	// loop is the state of the control goroutine.
+	loop struct {
 		table *table
-		// relay is the node's part in relaying, and believed the newest summary
-		// that was taken.
-		relay    *relay.Node
-		believed *relay.Summary
-		// following and relaying are what was last logged of that.
-		following relay.ID
-		relaying  bool
-		sequence  uint64
-		// rounds counts the heartbeats to all.
-		rounds  uint64
-		recent  []recentCrash
-		pulling chan struct{}
-		// viewed is when the view was last made.
-		viewed time.Time
-		// toAll is when heartbeats last went to all, and toRelays to relays.
-		toAll    tellings
-		toRelays tellings
-		// recalling is the epoch in which peers were asked what still holds of
-		// earlier ones, and recalls how many were.
-		recalling uint64
-		recalls   int
-		// behind is since when a newer position than the node's own is known of;
+		// relay is the node's part in relaying, and applied the last summary that
+		// was applied.
+		relay   *relay.Node
+		applied *relay.Summary
+		// loggedRelay and loggedRelaying are the last logged relay and role.
+		loggedRelay    relay.ID
+		loggedRelaying bool
+		sequence       uint64
+		// broadcasts counts the heartbeats sent to all nodes.
+		broadcasts    uint64
+		recentCrashes []recentCrash
+		pulling       chan struct{}
+		// publishedAt is when the view was last published.
+		publishedAt time.Time
+		// broadcastTimes are those of heartbeats to all, reportTimes to relays.
+		broadcastTimes sendTimes
+		reportTimes    sendTimes
+		// previousPullsEpoch is the epoch in which peers were last asked for items
+		// of previous epochs, and previousPulls how many were asked.
+		previousPullsEpoch uint64
+		previousPulls      int
+		// behindSince is when a newer position than the node's own became known;
 		// zero if none is.
-		behind time.Time
-		// differed is when the node last read the store anew since others know
-		// another state.
-		differed time.Time
+		behindSince time.Time
+		// rereadAt is when the node last reread the store because of a digest
+		// mismatch.
+		rereadAt time.Time
 	}
 
-	// tellings is when something was told last, and before that.
-	tellings struct{ last, before time.Time }
+	// sendTimes are the times of the last message of a kind and the one before.
+	sendTimes struct{ last, previous time.Time }
 
 	recentCrash struct {
 		crash Crash
@@ -180,7 +180,7 @@
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics()
 	}
-	c.Relays = cmp.Or(c.Relays, relay.Least)
+	c.MaxDirect = cmp.Or(c.MaxDirect, relay.MaxDirect)
 	own := netip.AddrPortFrom(c.Self.IP, c.Port)
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
 	if err != nil {
@@ -193,8 +193,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gossip{
-		config: c, socket: socket, caller: newCaller(c.Port), inbox: make(chan arrival, inboxLength),
-		crashes: make(chan Crash, crashesPerBeat), cancel: cancel,
+		config: c, socket: socket, client: newClient(c.Port), inbox: make(chan packet, inboxLength),
+		crashes: make(chan Crash, crashesPerHeartbeat), cancel: cancel,
 	}
 	g.view.Store(&View{Known: 1})
 	g.server = newServer(ctx, listener, c.Book)
@@ -212,27 +212,27 @@
 		}
 	})
 	g.running.Go(func() {
-		o := &owner{table: newTable(), pulling: make(chan struct{}, 1), relay: relay.New(relay.Config{
-			ID: short(c.Self.Incarnation), Zone: c.Self.Zone, Power: int(c.Self.Power),
+		l := &loop{table: newTable(), pulling: make(chan struct{}, 1), relay: relay.New(relay.Config{
+			ID: shortID(c.Self.Incarnation), Zone: c.Self.Zone, Power: int(c.Self.Power),
 		})}
-		timer, steps := time.NewTimer(0), time.NewTimer(idle)
+		timer, steps := time.NewTimer(0), time.NewTimer(relayCheckInterval)
 		defer timer.Stop()
 		defer steps.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case a := <-g.inbox:
-				g.take(ctx, o, a, time.Now())
+			case p := <-g.inbox:
+				g.handle(ctx, l, p, time.Now())
 			case crash := <-g.crashes:
-				o.recent = append(o.recent, recentCrash{crash: crash, at: time.Now()})
+				l.recentCrashes = append(l.recentCrashes, recentCrash{crash: crash, at: time.Now()})
 			case <-c.Book.News():
-				g.tellNews(ctx, o, time.Now())
+				g.propagate(ctx, l, time.Now())
 			case now := <-steps.C:
-				g.step(ctx, o, now)
-				steps.Reset(g.pause())
+				g.step(ctx, l, now)
+				steps.Reset(g.stepInterval())
 			case now := <-timer.C:
-				g.tick(o, now)
+				g.tick(l, now)
 				timer.Reset(interval(g.View().Known))
 			}
 		}
@@ -240,8 +240,8 @@
 	return g, nil
 }
 
-// again notes one more telling.
-func (t *tellings) again(now time.Time) { t.before, t.last = t.last, now }
+// record notes that a message was sent.
+func (t *sendTimes) record(now time.Time) { t.previous, t.last = t.last, now }
 
 // View returns the newest view, never nil.
 func (g *Gossip) View() *View { return g.view.Load() }
@@ -249,21 +249,21 @@
 // Others returns the requests in progress at an endpoint that other nodes sent.
 func (g *Gossip) Others(key uint32) int { return g.View().Others(key) }
 
-// OthersReading returns the prompt tokens that an endpoint is still to read for
-// other nodes' requests.
+// OthersReading returns the prompt tokens of other nodes' requests that an
+// endpoint has yet to process.
 func (g *Gossip) OthersReading(key uint32) int { return g.View().OthersReading(key) }
 
-// OthersFailures returns the attempts of other nodes that an endpoint has failed
-// lately.
+// OthersFailures returns the recently failed attempts of other nodes at an
+// endpoint.
 func (g *Gossip) OthersFailures(key uint32) int { return g.View().OthersFailures(key) }
 
-// Age returns how old the other nodes' loads are, on the mean.
+// Age returns the mean age of the other nodes' loads.
 func (g *Gossip) Age(now time.Time) time.Duration { return g.View().Age(now) }
 
-// Relayed reports whether the node knows what the others do through a relay.
+// Relayed reports whether the node gets the other nodes' loads through a relay.
 func (g *Gossip) Relayed() bool { return g.View().Relayed }
 
-// Tell tells the other nodes of a crash, or drops that if too many wait.
+// Tell sends a crash to the other nodes, or drops it if the queue is full.
 func (g *Gossip) Tell(c Crash) {
 	select {
 	case g.crashes <- c:
@@ -272,7 +272,7 @@
 	}
 }
 
-// Close leaves the fleet.
+// Close stops the heartbeats and closes the sockets.
 func (g *Gossip) Close() {
 	g.cancel()
 	_ = g.socket.Close()
@@ -281,28 +281,28 @@
 }
 
 func interval(nodes int) time.Duration {
-	dense := min(nodes, denseNodes)
-	return max(beatInterval, time.Duration(dense)*beatPerNode+time.Duration(nodes-dense)*beatPerMore)
+	base := min(nodes, largeFleet)
+	return max(heartbeatInterval, time.Duration(base)*heartbeatPerNode+time.Duration(nodes-base)*heartbeatPerExtra)
 }
 
-// Reads reports whether this node is one of the few that read the store for
-// all: the first ones, in an order that all nodes know, of those that can. One
-// that cannot goes on trying only if it is among the first of all.
+// Reads reports whether this node is one of the few that read the store on
+// behalf of all: the first storeReaders, in rank order, of the nodes that can.
+// A node that cannot keeps trying only if it is among the first of all nodes.
 func (g *Gossip) Reads() bool {
 	failing := g.config.Book.Access() == deployment.Failing
-	self := order(g.config.Self.Name)
+	self := rank(g.config.Self.Name)
 	ahead := 0
 	for _, m := range g.View().Alive {
-		if m.State == Stopping || order(m.Name) >= self {
+		if m.State == Stopping || rank(m.Name) >= self {
 			continue
 		}
 		if failing || m.Access != deployment.Failing {
 			ahead++
 		}
 	}
-	return ahead < readers
+	return ahead < storeReaders
 }
 
-// order spreads the readers over the availability zones, whose nodes often have
-// similar names.
-func order(name string) uint64 { return xxhash.Sum64String(name) }
+// rank orders the readers. The hash spreads them over the availability zones,
+// whose nodes often have similar names.
+func rank(name string) uint64 { return xxhash.Sum64String(name) }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -1,6 +1,6 @@
-// Package gossip is how the fleet's nodes know each other: they find one
-// another through seeds, tell each other their state and load in datagrams, and
-// hand on what they have read of the platform's store.
+// Package gossip implements membership of the fleet's nodes. They discover one
+// another through seeds, exchange state and load in datagrams, and pull from
+// each other what they have read of the platform's store.
 package gossip
 
 import (
@@ -40,13 +40,13 @@
 		// Callers is where the node takes callers.
 		Callers netip.AddrPort `cbor:"4,keyasint"`
 		// Power is the node's processor time in thousandths of a core; only nodes
-		// that tell it are relays.
+		// that report it can be relays.
 		Power uint16 `cbor:"5,keyasint,omitempty"`
-		// Incarnation differs between two starts of a node. It, State and
-		// Access are told in each heartbeat by themselves.
+		// Incarnation differs between two starts of a node. Each heartbeat carries
+		// it, State and Access outside of Member.
 		Incarnation uint64 `cbor:"-"`
 		State       State  `cbor:"-"`
-		// Access says whether the node reads the store, and can.
+		// Access says whether the node reads the store, and whether that works.
 		Access deployment.Access `cbor:"-"`
 	}
 
@@ -59,57 +59,58 @@
 
 	// heartbeat is what a node sends to each other node.
 	//
-	// Who the sender is stands in it only where the receiver may not know: to
-	// nodes that are not heard of, and to those that ask. Names and addresses
-	// are half of a heartbeat otherwise, several times a second to every node.
+	// It contains the sender's identity only if the receiver may lack it: for
+	// nodes that have not been heard from, and those that ask for it. Otherwise
+	// names and addresses would be half of each heartbeat, several times a
+	// second to every node.
 	heartbeat struct {
 		// ID is the sender's incarnation.
 		ID       uint64 `cbor:"1,keyasint"`
 		Sequence uint64 `cbor:"2,keyasint"`
-		// Revision is the store's revision up to which the node knows all.
+		// Revision is the store's revision up to which the node is up to date.
 		Revision uint64            `cbor:"3,keyasint"`
 		State    State             `cbor:"4,keyasint,omitempty"`
 		Access   deployment.Access `cbor:"5,keyasint,omitempty"`
-		// Epoch is the store's epoch of the revision.
+		// Epoch is the store's epoch of Revision.
 		Epoch uint64 `cbor:"17,keyasint,omitempty"`
 		// Loads are the node's requests in progress by endpoint.
 		Loads map[uint32]int `cbor:"6,keyasint,omitempty"`
-		// Reading are the prompt tokens that endpoints are still to read for the
-		// node's requests.
+		// Reading are the prompt tokens of these requests that endpoints have yet
+		// to process.
 		Reading map[uint32]int `cbor:"13,keyasint,omitempty"`
-		// Failures are the node's attempts that endpoints have failed lately.
+		// Failures are the node's recently failed attempts by endpoint.
 		Failures map[uint32]int `cbor:"16,keyasint,omitempty"`
 		// Contacts are the addresses of some other nodes.
 		Contacts []netip.Addr `cbor:"7,keyasint,omitempty"`
 		Crashes  []Crash      `cbor:"8,keyasint,omitempty"`
-		// Placements are where the node has lately sent parts of prompts.
+		// Placements are where the node has recently sent parts of prompts.
 		Placements []balance.Placement `cbor:"9,keyasint,omitempty"`
-		// Reports are what endpoints have lately said of their own load.
-		Reports map[uint32]int `cbor:"12,keyasint,omitempty"`
-		// Leaving are endpoints that have said themselves that they leave: in some
-		// heartbeats all, in others the newest.
+		// EndpointLoads are the loads that endpoints have recently reported.
+		EndpointLoads map[uint32]int `cbor:"12,keyasint,omitempty"`
+		// Leaving are endpoints that have announced that they leave: all of them in
+		// some heartbeats, the newest in others.
 		Leaving []uint32 `cbor:"18,keyasint,omitempty"`
-		// From is who the sender is.
+		// From is the sender's identity.
 		From *Member `cbor:"10,keyasint,omitempty"`
-		// Digest is that of the node's record, which stands in some heartbeats.
+		// Digest is that of the node's record; only some heartbeats carry it.
 		Digest uint32 `cbor:"14,keyasint,omitempty"`
-		// Reporting says that the receiver is to be the sender's relay.
-		Reporting reporting `cbor:"15,keyasint,omitempty"`
-		// Ask asks the receiver who it is.
-		Ask bool `cbor:"11,keyasint,omitempty"`
+		// Delivery says whether the receiver is the sender's relay.
+		Delivery delivery `cbor:"15,keyasint,omitempty"`
+		// Identify asks the receiver for its identity.
+		Identify bool `cbor:"11,keyasint,omitempty"`
 	}
 
-	// itemsRequest asks for the items that changed after a position.
+	// itemsRequest requests the items that changed after a position.
 	itemsRequest struct {
 		After uint64 `cbor:"1,keyasint"`
 		Epoch uint64 `cbor:"3,keyasint,omitempty"`
-		// Base is the largest item that the caller has; its new value is sent
-		// as the difference to it where the other node still knows it.
+		// Base is the largest item that the requester has; its new value is sent
+		// as a delta to it if the other node still has it.
 		Base itemName `cbor:"2,keyasint"`
 	}
 
-	// itemName names an item's value by what it is: a revision names other values
-	// after the store was restored.
+	// itemName identifies an item's value by its content: after the store was
+	// restored, the same revision identifies other values.
 	itemName struct {
 		Key string `cbor:"1,keyasint"`
 		Sum uint64 `cbor:"3,keyasint"`
@@ -118,19 +119,18 @@
 	itemsReply struct {
 		// Packed are the items, encoded and compressed.
 		Packed []byte `cbor:"1,keyasint"`
-		// Whole says that the items are everything there is, since the node does
-		// not know all that was removed after the revision asked for.
+		// Whole says that the items are the complete set, because the node does not
+		// know all removals after the requested revision.
 		Whole bool `cbor:"5,keyasint,omitempty"`
-		// Based says that the base serves as the dictionary.
+		// Based says that the base is the compression dictionary.
 		Based    bool   `cbor:"4,keyasint,omitempty"`
 		Revision uint64 `cbor:"2,keyasint"`
 		Epoch    uint64 `cbor:"7,keyasint,omitempty"`
-		// Former are the items of earlier epochs that still hold, as Packed, and
-		// Settling for how much longer the store may lack them.
-		Former   []byte        `cbor:"8,keyasint,omitempty"`
+		// Previous are the items of previous epochs that are still valid, encoded
+		// as Packed is, and Settling how much longer the store may lack them.
+		Previous []byte        `cbor:"8,keyasint,omitempty"`
 		Settling time.Duration `cbor:"9,keyasint,omitempty"`
-		// Lapsing is for how much longer removals may stem from an outage of the
-		// store.
+		// Lapsing is how much longer removals may be the result of a store outage.
 		Lapsing time.Duration `cbor:"6,keyasint,omitempty"`
 	}
 
@@ -141,11 +141,11 @@
 		Removed  bool   `cbor:"4,keyasint,omitempty"`
 	}
 
-	// codec is the encoding of calls between nodes.
+	// codec is the encoding of RPCs between nodes.
 	codec struct{}
 )
 
-// position is that of the store up to which the sender knows all.
+// position is the store's position up to which the sender is up to date.
 func (b *heartbeat) position() deployment.Position {
 	return deployment.Position{Epoch: b.Epoch, Revision: b.Revision}
 }
@@ -175,7 +175,7 @@
 	return deployment.Item{Key: i.Key, Value: i.Value, Revision: i.Revision, Removed: i.Removed}
 }
 
-func mapped[A, B any](list []A, to func(A) B) []B {
+func mapSlice[A, B any](list []A, to func(A) B) []B {
 	out := make([]B, len(list))
 	for i, a := range list {
 		out[i] = to(a)
--- a/internal/gossip/metrics.go
+++ b/internal/gossip/metrics.go
@@ -12,17 +12,18 @@
 // metricPrefix starts the name of every metric.
 const metricPrefix = "bulrushhinge_gossip_"
 
-// Metrics says how old a node's knowledge of the others is, and what it costs.
+// Metrics measures the staleness of what a node knows of the others, and the
+// traffic.
 type Metrics struct {
 	set *metrics.Set
-	// age is how old the loads of each living node are, looked at with each
-	// heartbeat; silence how long a node was silent when it was taken as lost;
+	// age is the age of each living node's loads, sampled with each heartbeat;
+	// lostAfter how long a node was unreachable when it was declared lost;
 	// behind how long this node knew of a newer revision than its own.
-	age     *metrics.Histogram
-	silence *metrics.Histogram
-	behind  *metrics.Histogram
-	// sent and received are datagrams and their bytes, dropped those that came
-	// faster than they were handled.
+	age       *metrics.Histogram
+	lostAfter *metrics.Histogram
+	behind    *metrics.Histogram
+	// sent and received count datagrams and their bytes, dropped those that
+	// arrived faster than they were handled.
 	sent, sentBytes         *metrics.Counter
 	received, receivedBytes *metrics.Counter
 	dropped                 *metrics.Counter
@@ -34,7 +35,7 @@
 	return &Metrics{
 		set:           s,
 		age:           s.NewHistogram(metricPrefix + "news_age_seconds"),
-		silence:       s.NewHistogram(metricPrefix + "lost_after_seconds"),
+		lostAfter:     s.NewHistogram(metricPrefix + "lost_after_seconds"),
 		behind:        s.NewHistogram(metricPrefix + "behind_seconds"),
 		sent:          s.NewCounter(metricPrefix + `datagrams_total{direction="sent"}`),
 		received:      s.NewCounter(metricPrefix + `datagrams_total{direction="received"}`),
@@ -47,25 +48,25 @@
 // Write writes all metrics as text.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
 
-// aged notes how old the news of the living nodes is.
-func (m *Metrics) aged(t *table, sums *relay.Sums, now time.Time) {
+// observeAges samples the age of the living nodes' loads.
+func (m *Metrics) observeAges(t *table, sums *relay.Sums, now time.Time) {
 	for _, n := range t.nodes {
 		switch {
 		case !n.alive:
-		case sums.Covers(short(n.member.Incarnation)):
+		case sums.Covers(shortID(n.member.Incarnation)):
 			m.age.Update(sums.Age.Seconds())
 		default:
-			m.age.Update(now.Sub(n.heard).Seconds())
+			m.age.Update(now.Sub(n.lastSeen).Seconds())
 		}
 	}
 }
 
-func (m *Metrics) out(bytes int) {
+func (m *Metrics) countSent(bytes int) {
 	m.sent.Inc()
 	m.sentBytes.Add(bytes)
 }
 
-func (m *Metrics) in(bytes int) {
+func (m *Metrics) countReceived(bytes int) {
 	m.received.Inc()
 	m.receivedBytes.Add(bytes)
 }
--- a/internal/gossip/pack.go
+++ b/internal/gossip/pack.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// maxUnpacked bounds what a reply may hold: about a thousand items, one of
-	// a megabyte.
+	// maxUnpacked bounds a reply's decoded size: about a thousand items, one of
+	// them a megabyte.
 	maxUnpacked = 16 << 20
 	// maxWindow bounds an encoder's memory.
 	maxWindow = 4 << 20
 	// dictionaryID is the ID of the only dictionary, the base's value.
 	dictionaryID = 1
-	// packsKept is how many replies are kept: nodes ask for the same changes
-	// at the same time.
-	packsKept = 8
+	// maxCached bounds the cached replies: nodes request the same changes at
+	// the same time.
+	maxCached = 8
 )
 
 type (
-	// packer packs items for replies, and keeps the newest replies.
+	// packer packs items for replies, and caches the newest replies.
 	packer struct {
-		book Book
-		mu   sync.Mutex
-		kept map[packKey]*itemsReply
+		replica Replica
+		mu      sync.Mutex
+		cache   map[packKey]*itemsReply
 	}
 
 	packKey struct {
@@ -39,16 +39,18 @@
 	}
 )
 
-func newPacker(book Book) *packer { return &packer{book: book, kept: map[packKey]*itemsReply{}} }
+func newPacker(replica Replica) *packer {
+	return &packer{replica: replica, cache: map[packKey]*itemsReply{}}
+}
 
-// reply answers a request.
+// reply returns the reply to a request.
 //
-// A configuration of 1,600 routes has 500 KB. Were it sent whole, seventy nodes
-// that ask one on a link of 10 Mbit/s would wait for half a minute; one would
-// see calls between nodes time out after each change. As the difference to what
-// the caller has, a change of one route takes some hundred bytes.
+// A configuration of 1,600 routes takes 500 KB. Sent whole to seventy nodes over
+// one 10 Mbit/s link, it would take half a minute, and calls between nodes would
+// time out after each change. As a delta to what the requester has, a change of
+// one route takes a few hundred bytes.
 func (p *packer) reply(req itemsRequest) (*itemsReply, error) {
-	record := p.book.Record()
+	record := p.replica.Record()
 	items, whole := record.After(deployment.Position{Epoch: req.Epoch, Revision: req.After})
 	if whole {
 		req.After, req.Epoch = 0, 0
@@ -56,32 +58,32 @@
 	key := packKey{request: req, record: record}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r, ok := p.kept[key]; ok {
+	if r, ok := p.cache[key]; ok {
 		return r, nil
 	}
-	base := valueOf(p.book.Past(), req.Base)
+	base := valueOf(p.replica.Past(), req.Base)
 	if base == nil {
 		base = valueOf(record.Items, req.Base)
 	}
-	packed, err := pack(mapped(items, encodeItem), base)
+	packed, err := pack(mapSlice(items, encodeItem), base)
 	if err != nil {
 		return nil, err
 	}
-	var former []byte
+	var previous []byte
 	if len(record.Former) > 0 {
-		if former, err = pack(mapped(record.Former, encodeItem), base); err != nil {
+		if previous, err = pack(mapSlice(record.Former, encodeItem), base); err != nil {
 			return nil, err
 		}
 	}
-	if len(p.kept) >= packsKept {
-		clear(p.kept)
+	if len(p.cache) >= maxCached {
+		clear(p.cache)
 	}
-	r := &itemsReply{Packed: packed, Former: former, Whole: whole, Based: base != nil, Epoch: record.Epoch, Revision: record.Revision}
-	p.kept[key] = r
+	r := &itemsReply{Packed: packed, Previous: previous, Whole: whole, Based: base != nil, Epoch: record.Epoch, Revision: record.Revision}
+	p.cache[key] = r
 	return r, nil
 }
 
-// largest names the largest item.
+// largest returns the name of the largest item.
 func largest(items []deployment.Item) itemName {
 	var most deployment.Item
 	for _, i := range items {
@@ -126,8 +128,8 @@
 	return w.EncodeAll(data, nil), nil
 }
 
-// window is the least that spans both the base and the data; the encoder's
-// memory grows with it.
+// window returns the smallest window that spans both base and data; the
+// encoder's memory grows with it.
 func window(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), maxWindow)
 }
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	itemsCall = "/bulrushhinge.Gossip/Items"
-	// pullDelay is how long a node that reads the store waits for it to tell
-	// what a peer already knows; watches are told at about the same time.
+	itemsRPC = "/bulrushhinge.Gossip/Items"
+	// pullDelay is how long a node that reads the store waits for the store to
+	// deliver what a peer already has; all watches receive a change at about the
+	// same time.
 	pullDelay = 250 * time.Millisecond
-	// pullTimeout bounds a call to a peer, whose connection may be silent.
+	// pullTimeout bounds a call to a peer, whose connection may be unresponsive.
 	pullTimeout = 800 * time.Millisecond
-	// peersRecalled is how many peers are asked what holds of earlier epochs.
-	peersRecalled = 3
+	// maxPreviousPulls is how many peers are asked for items of previous epochs.
+	maxPreviousPulls = 3
 )
 
-// errCall is returned for a call that a node does not know.
-var errCall = errors.New("gossip: unknown call")
+// errUnknownRPC is returned for an RPC that the node does not implement.
+var errUnknownRPC = errors.New("gossip: unknown call")
 
 type (
-	// caller calls other nodes.
-	caller struct{ port uint16 }
+	// client calls other nodes.
+	client struct{ port uint16 }
 
 	// server answers other nodes' calls.
 	server struct {
@@ -43,19 +44,19 @@
 
 	// handler answers calls.
 	handler struct {
-		book   Book
-		packer *packer
+		replica Replica
+		packer  *packer
 	}
 )
 
-func newCaller(port uint16) *caller { return &caller{port: port} }
+func newClient(port uint16) *client { return &client{port: port} }
 
-func newServer(ctx context.Context, l net.Listener, book Book) *server {
+func newServer(ctx context.Context, l net.Listener, replica Replica) *server {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &server{cancel: cancel}
 	s.running.Go(func() {
-		// The server ends with its context.
-		_ = drpcserver.New(handler{book: book, packer: newPacker(book)}).Serve(ctx, l)
+		// Serve returns when its context is canceled.
+		_ = drpcserver.New(handler{replica: replica, packer: newPacker(replica)}).Serve(ctx, l)
 	})
 	return s
 }
@@ -65,10 +66,10 @@
 	s.running.Wait()
 }
 
-// HandleRPC answers one call.
+// HandleRPC serves one RPC.
 func (h handler) HandleRPC(stream drpc.Stream, rpc string) error {
-	if rpc != itemsCall {
-		return errCall
+	if rpc != itemsRPC {
+		return errUnknownRPC
 	}
 	var req itemsRequest
 	if err := stream.MsgRecv(&req, codec{}); err != nil {
@@ -79,15 +80,15 @@
 		return err
 	}
 	reply := *packed
-	reply.Lapsing, reply.Settling = h.book.Lapsing(), h.book.Settling()
+	reply.Lapsing, reply.Settling = h.replica.Lapsing(), h.replica.Settling()
 	if err := stream.MsgSend(&reply, codec{}); err != nil {
 		return err
 	}
 	return stream.CloseSend()
 }
 
-// items asks a node for the items that changed after a position.
-func (c *caller) items(ctx context.Context, ip netip.Addr, req itemsRequest) (*itemsReply, error) {
+// items requests the items that changed after a position from a node.
+func (c *client) items(ctx context.Context, ip netip.Addr, req itemsRequest) (*itemsReply, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp4", netip.AddrPortFrom(ip, c.port).String())
 	if err != nil {
@@ -96,24 +97,24 @@
 	conn := drpcconn.New(raw)
 	defer func() { _ = conn.Close() }()
 	var reply itemsReply
-	if err := conn.Invoke(ctx, itemsCall, codec{}, &req, &reply); err != nil {
+	if err := conn.Invoke(ctx, itemsRPC, codec{}, &req, &reply); err != nil {
 		return nil, fmt.Errorf("gossip: items: %w", err)
 	}
 	return &reply, nil
 }
 
-// pull takes from a peer what it has read of the store and this node has not.
+// pull fetches from a peer what it has read of the store and this node lacks.
 //
-// A node may be cut off from the store while others are not. Any node that knows
-// more is asked, one at a time.
-func (g *Gossip) pull(ctx context.Context, o *owner) {
+// A node may be cut off from the store while others are not. Any node that is
+// ahead may be asked; only one pull runs at a time.
+func (g *Gossip) pull(ctx context.Context, l *loop) {
 	select {
-	case o.pulling <- struct{}{}:
+	case l.pulling <- struct{}{}:
 	default:
 		return
 	}
 	g.running.Go(func() {
-		defer func() { <-o.pulling }()
+		defer func() { <-l.pulling }()
 		if g.config.Book.Access() == deployment.Reading {
 			select {
 			case <-time.After(pullDelay):
@@ -122,33 +123,34 @@
 			}
 		}
 		after := g.config.Book.Snapshot().Position
-		if from, ok := g.View().informed(after); ok {
+		if from, ok := g.View().aheadOf(after); ok {
 			g.fetch(ctx, from, after)
 		}
 	})
 }
 
-// recall asks some peers, in each epoch, what still holds of earlier epochs.
+// pullPrevious asks a peer for the items of previous epochs that are still valid,
+// up to maxPreviousPulls times per epoch.
 //
-// A node that starts just after the store was restored reads a configuration that
-// is older than the one in force, and endpoints that have left. A peer may have
-// started just as late.
-func (g *Gossip) recall(ctx context.Context, o *owner, own, at deployment.Position) {
-	if o.recalling < own.Epoch {
-		o.recalling, o.recalls = own.Epoch, 0
-	}
-	if own.Epoch == 0 || own.Epoch != at.Epoch || o.recalls >= peersRecalled {
+// A node that starts just after the store was restored reads a configuration
+// older than the one in force, and endpoints that have left. More than one peer
+// is asked, as a peer may have started just as late.
+func (g *Gossip) pullPrevious(ctx context.Context, l *loop, own, at deployment.Position) {
+	if l.previousPullsEpoch < own.Epoch {
+		l.previousPullsEpoch, l.previousPulls = own.Epoch, 0
+	}
+	if own.Epoch == 0 || own.Epoch != at.Epoch || l.previousPulls >= maxPreviousPulls {
 		return
 	}
 	select {
-	case o.pulling <- struct{}{}:
+	case l.pulling <- struct{}{}:
 	default:
 		return
 	}
-	o.recalls++
+	l.previousPulls++
 	g.running.Go(func() {
-		defer func() { <-o.pulling }()
-		if from, ok := g.View().contemporary(own.Epoch); ok {
+		defer func() { <-l.pulling }()
+		if from, ok := g.View().inEpoch(own.Epoch); ok {
 			g.fetch(ctx, from, own)
 		}
 	})
@@ -159,10 +161,10 @@
 	defer cancel()
 	items := g.config.Book.Record().Items
 	req := itemsRequest{After: after.Revision, Epoch: after.Epoch, Base: largest(items)}
-	reply, err := g.caller.items(ctx, from.IP, req)
-	var news, former []item
+	reply, err := g.client.items(ctx, from.IP, req)
+	var changed, previous []item
 	if err == nil {
-		news, former, err = reply.unpack(items, req.Base)
+		changed, previous, err = reply.unpack(items, req.Base)
 	}
 	if err != nil {
 		g.config.Log.Event("pull.failed", decision.Fields{"peer": from.Name, "epoch": after.Epoch, "after": after.Revision, "error": err.Error()})
@@ -170,25 +172,25 @@
 		return
 	}
 	g.config.Log.Event("pull", decision.Fields{
-		"peer": from.Name, "after": after.Revision, "epoch": reply.Epoch, "revision": reply.Revision, "whole": reply.Whole, "items": len(news),
-		"former": len(former), "bytes": len(reply.Packed) + len(reply.Former),
+		"peer": from.Name, "after": after.Revision, "epoch": reply.Epoch, "revision": reply.Revision, "whole": reply.Whole, "items": len(changed),
+		"former": len(previous), "bytes": len(reply.Packed) + len(reply.Previous),
 	})
 	g.config.Book.Apply(ctx, deployment.Update{
-		Items: mapped(news, decodeItem), Position: deployment.Position{Epoch: reply.Epoch, Revision: reply.Revision}, Whole: reply.Whole,
-		Lapsing: reply.Lapsing, Former: mapped(former, decodeItem), Settling: reply.Settling, Source: from.Name,
+		Items: mapSlice(changed, decodeItem), Position: deployment.Position{Epoch: reply.Epoch, Revision: reply.Revision}, Whole: reply.Whole,
+		Lapsing: reply.Lapsing, Former: mapSlice(previous, decodeItem), Settling: reply.Settling, Source: from.Name,
 	})
 }
 
-// unpack returns the items of a reply, and those of earlier epochs. The caller's
-// own items have the base that the reply may refer to.
-func (r *itemsReply) unpack(own []deployment.Item, name itemName) (news, former []item, err error) {
+// unpack returns the changed items of a reply, and those of previous epochs. The
+// requester's own items contain the base that the reply may refer to.
+func (r *itemsReply) unpack(own []deployment.Item, name itemName) (changed, previous []item, err error) {
 	var base []byte
 	if r.Based {
 		base = valueOf(own, name)
 	}
-	if news, err = unpack(r.Packed, base); err != nil || len(r.Former) == 0 {
-		return news, nil, err
+	if changed, err = unpack(r.Packed, base); err != nil || len(r.Previous) == 0 {
+		return changed, nil, err
 	}
-	former, err = unpack(r.Former, base)
-	return news, former, err
+	previous, err = unpack(r.Previous, base)
+	return changed, previous, err
 }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -11,13 +11,13 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// viewShare is the part of the time between heartbeats for which a view may
-// lack loads that were heard: at three hundred nodes one comes every 8 ms.
-const viewShare = 0.125
+// viewDelayShare is the part of the heartbeat interval for which the published
+// view may lack received loads: at 300 nodes a heartbeat arrives every 8 ms.
+const viewDelayShare = 0.125
 
-// receive decodes a datagram; one that cannot be decoded says nothing.
+// receive decodes a datagram and drops it if it is malformed.
 func (g *Gossip) receive(data []byte, from netip.Addr) {
-	g.config.Metrics.in(len(data))
+	g.config.Metrics.countReceived(len(data))
 	if len(data) > 0 && data[0]&cborMajor == cborArray {
 		g.receiveSummary(data, from)
 		return
@@ -30,72 +30,74 @@
 	if b.ID == g.config.Self.Incarnation || (b.From != nil && b.From.Name == g.config.Self.Name) {
 		return
 	}
-	g.put(arrival{beat: b, addr: from})
+	g.enqueue(packet{heartbeat: b, addr: from})
 }
 
-// put hands an arrival to the control goroutine, or drops it.
-func (g *Gossip) put(a arrival) {
+// enqueue hands a packet to the control goroutine, or drops it if the inbox is
+// full.
+func (g *Gossip) enqueue(p packet) {
 	select {
-	case g.inbox <- a:
+	case g.inbox <- p:
 	default:
 		g.config.Metrics.dropped.Inc()
 	}
 }
 
-func (g *Gossip) take(ctx context.Context, o *owner, a arrival, now time.Time) {
-	if a.summary != nil {
-		g.takeSummary(ctx, o, a, now)
+func (g *Gossip) handle(ctx context.Context, l *loop, p packet, now time.Time) {
+	if p.summary != nil {
+		g.handleSummary(ctx, l, p, now)
 		return
 	}
-	b := a.beat
-	n, brought := o.table.heard(b, now)
-	if brought == stranger || b.Ask {
-		// Either does not know the other.
-		g.send(a.addr, g.introduction(o, brought == stranger, now))
+	b := p.heartbeat
+	n, res := l.table.record(b, now)
+	if res == resultUnknown || b.Identify {
+		// One of the two nodes does not know the other.
+		g.send(p.addr, g.introduction(l, res == resultUnknown, now))
 	}
-	if brought == stale || brought == stranger {
+	if res == resultStale || res == resultUnknown {
 		return
 	}
-	if b.Reporting != plain {
-		o.relay.Heard(now, report(b, a.addr))
+	if b.Delivery != deliverBroadcast {
+		l.relay.ReceiveReport(now, newReport(b, p.addr))
 	}
-	g.learn(o, b, n.member.Name, now)
-	if brought == regained {
+	g.applyUpdates(l, b, n.member.Name, now)
+	if res == resultRecovered {
 		g.config.Log.Event("node.heard", decision.Fields{"peer": n.member.Name, "incarnation": b.ID, "epoch": b.Epoch, "revision": b.Revision})
-		// The node knows this one before the next heartbeat is due.
-		g.send(n.addr, g.introduction(o, false, now))
+		// The peer then knows this node before the next heartbeat is due.
+		g.send(n.addr, g.introduction(l, false, now))
 	}
-	if brought != usual || now.Sub(o.viewed) > time.Duration(viewShare*float64(interval(g.View().Known))) {
-		g.publish(o, now)
+	if res != resultCurrent || now.Sub(l.publishedAt) > time.Duration(viewDelayShare*float64(interval(g.View().Known))) {
+		g.publish(l, now)
 	}
 	if b.Access == deployment.Failing {
 		g.config.Book.Doubt()
 	}
-	if !g.newer(ctx, o, b.position(), now) && b.Access == deployment.Reading {
+	if !g.pullIfBehind(ctx, l, b.position(), now) && b.Access == deployment.Reading {
 		g.config.Book.Confirm()
 	}
 }
 
-// newer takes news that others know all up to a position of the store, and reports
-// whether this node does not.
-func (g *Gossip) newer(ctx context.Context, o *owner, at deployment.Position, now time.Time) bool {
+// pullIfBehind handles a report that other nodes are up to date with a position
+// of the store: it starts a pull if this node is behind, and reports whether it
+// is.
+func (g *Gossip) pullIfBehind(ctx context.Context, l *loop, at deployment.Position, now time.Time) bool {
 	own := g.config.Book.Snapshot().Position
 	if !own.Before(at) {
-		g.recall(ctx, o, own, at)
+		g.pullPrevious(ctx, l, own, at)
 		return false
 	}
-	if o.behind.IsZero() {
-		o.behind = now
+	if l.behindSince.IsZero() {
+		l.behindSince = now
 	}
-	g.pull(ctx, o)
+	g.pull(ctx, l)
 	return true
 }
 
-// learn takes what a heartbeat tells of others, and who has told it.
-func (g *Gossip) learn(o *owner, b *heartbeat, source string, now time.Time) {
+// applyUpdates applies what a heartbeat reports of other nodes and of endpoints.
+func (g *Gossip) applyUpdates(l *loop, b *heartbeat, source string, now time.Time) {
 	for _, addr := range b.Contacts {
 		if addr != g.config.Self.IP {
-			o.table.learn(addr, now)
+			l.table.add(addr, now)
 		}
 	}
 	for _, c := range b.Crashes {
@@ -104,25 +106,26 @@
 	if len(b.Leaving) > 0 {
 		g.config.Book.LeavingHeard(b.Leaving, source)
 	}
-	if len(b.Reports) > 0 {
-		g.config.Work.ReportsHeard(now, b.Reports)
+	if len(b.EndpointLoads) > 0 {
+		g.config.Work.ReportsHeard(now, b.EndpointLoads)
 	}
 	if len(b.Placements) > 0 {
 		g.config.Work.Placed(now, b.Placements)
 	}
 }
 
-func (g *Gossip) publish(o *owner, now time.Time) {
-	o.viewed = now
-	g.view.Store(o.table.view(now, o.relay.Sums(now)))
+func (g *Gossip) publish(l *loop, now time.Time) {
+	l.publishedAt = now
+	g.view.Store(l.table.view(now, l.relay.Sums(now)))
 }
 
-// caughtUp notes how long the node knew of a newer position, once it has it. It
-// is looked at with each heartbeat, so that the time is that much too long.
-func (g *Gossip) caughtUp(o *owner, now time.Time) {
-	if o.behind.IsZero() || g.config.Book.Snapshot().Before(g.View().newest()) {
+// observeBehind measures how long the node knew of a newer position, once it has
+// caught up. It runs once per heartbeat, so the time is too long by up to one
+// interval.
+func (g *Gossip) observeBehind(l *loop, now time.Time) {
+	if l.behindSince.IsZero() || g.config.Book.Snapshot().Before(g.View().newest()) {
 		return
 	}
-	g.config.Metrics.behind.Update(now.Sub(o.behind).Seconds())
-	o.behind = time.Time{}
+	g.config.Metrics.behind.Update(now.Sub(l.behindSince).Seconds())
+	l.behindSince = time.Time{}
 }
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -13,96 +13,97 @@
 )
 
 const (
-	// contactsPerBeat is how many other nodes a heartbeat names, so that parts
-	// of a fleet that do not know each other meet; contactsToNew is the same in
-	// an introduction: a new node knows hundreds after a few.
-	contactsPerBeat = 1
-	contactsToNew   = 24
-	// greetFor is how long a node of which only the address is known is sent
-	// each heartbeat, and afterwards, as to a silent one, greetShare is the part
-	// of the heartbeats that it is sent.
-	greetFor   = 2 * time.Second
-	greetShare = 0.125
-	// crashFor is how long a crash is repeated in heartbeats, if it has been in
-	// two to all by then.
-	crashFor = 2 * time.Second
-	// crashesPerBeat bounds a heartbeat.
-	crashesPerBeat = 16
-	// leavingFor is how long each heartbeat names an endpoint that has said that it
-	// leaves; afterwards those do that have a digest, and introductions.
-	leavingFor = 3 * time.Second
+	// contactsPerHeartbeat is how many other nodes a heartbeat names, so that
+	// parts of a fleet that do not know each other meet. An introduction names
+	// contactsPerIntroduction: a few of them make hundreds of nodes known.
+	contactsPerHeartbeat    = 1
+	contactsPerIntroduction = 24
+	// introduceFor is how long each heartbeat is sent to a node of which only the
+	// address is known. Afterwards such a node, like an unreachable one, is sent
+	// the fraction introduceShare of them.
+	introduceFor   = 2 * time.Second
+	introduceShare = 0.125
+	// repeatCrashFor is how long heartbeats repeat a crash, and longer until two
+	// broadcasts have carried it.
+	repeatCrashFor = 2 * time.Second
+	// crashesPerHeartbeat bounds the crashes in a heartbeat.
+	crashesPerHeartbeat = 16
+	// repeatLeavingFor is how long each heartbeat names an endpoint that has
+	// announced that it leaves; afterwards only heartbeats with a digest and
+	// introductions do.
+	repeatLeavingFor = 3 * time.Second
 )
 
-func (g *Gossip) tick(o *owner, now time.Time) {
-	for _, n := range o.table.expire(now) {
-		silent := now.Sub(n.heard)
-		g.config.Metrics.silence.Update(silent.Seconds())
+func (g *Gossip) tick(l *loop, now time.Time) {
+	for _, n := range l.table.expire(now) {
+		silent := now.Sub(n.lastSeen)
+		g.config.Metrics.lostAfter.Update(silent.Seconds())
 		g.config.Log.Event("node.lost", decision.Fields{"peer": n.member.Name, "silent_ms": silent.Milliseconds()})
 	}
-	g.config.Metrics.aged(o.table, o.relay.Sums(now), now)
-	g.caughtUp(o, now)
-	g.compare(o, now)
-	g.publish(o, now)
-	g.broadcast(o, now)
+	g.config.Metrics.observeAges(l.table, l.relay.Sums(now), now)
+	g.observeBehind(l, now)
+	g.compareDigests(l, now)
+	g.publish(l, now)
+	g.broadcast(l, now)
 }
 
-// tellNews tells what the store has just told: it is not kept until the next
-// heartbeat is due. Where relays answer, they tell it to all.
-func (g *Gossip) tellNews(ctx context.Context, o *owner, now time.Time) {
-	if g.relayed() && o.relay.Whole(now) != nil {
-		g.step(ctx, o, now)
+// propagate sends an update that just came from the store without waiting for
+// the next heartbeat. If the node has a working relay, it is sent through relays.
+func (g *Gossip) propagate(ctx context.Context, l *loop, now time.Time) {
+	if g.usesRelays() && l.relay.Fleet(now) != nil {
+		g.step(ctx, l, now)
 		return
 	}
-	g.broadcast(o, now)
+	g.broadcast(l, now)
 }
 
 // broadcast sends a heartbeat to all nodes.
-func (g *Gossip) broadcast(o *owner, now time.Time) {
-	b := g.heartbeat(o, o.toAll, now)
-	if o.rounds%digestEvery == 0 || g.relayed() {
+func (g *Gossip) broadcast(l *loop, now time.Time) {
+	b := g.heartbeat(l, l.broadcastTimes, now)
+	if l.broadcasts%digestEvery == 0 || g.usesRelays() {
 		b.Digest = g.config.Book.Record().Digest
 		b.Leaving = g.config.Book.Announced(time.Time{})
 	}
-	o.rounds++
+	l.broadcasts++
 	data := g.encode(b)
-	hello := sync.OnceValue(func() []byte { return g.introduction(o, false, now) })
+	introduction := sync.OnceValue(func() []byte { return g.introduction(l, false, now) })
 	sent := map[netip.Addr]bool{g.config.Self.IP: true}
-	for _, n := range o.table.nodes {
+	for _, n := range l.table.nodes {
 		switch {
 		case n.alive:
 			g.send(n.addr, data)
-		case n.heard.IsZero() && now.Sub(n.first) < greetFor, rand.Float64() < greetShare:
-			g.send(n.addr, hello())
+		case n.lastSeen.IsZero() && now.Sub(n.firstSeen) < introduceFor, rand.Float64() < introduceShare:
+			g.send(n.addr, introduction())
 		}
 		sent[n.addr] = true
 	}
-	o.toAll.again(now)
+	l.broadcastTimes.record(now)
 	alone := len(g.View().Alive) == 0
 	for _, seed := range g.config.Seeds() {
-		if !sent[seed] && (alone || rand.Float64() < greetShare) {
-			g.send(seed, hello())
+		if !sent[seed] && (alone || rand.Float64() < introduceShare) {
+			g.send(seed, introduction())
 		}
 	}
 }
 
-// heartbeat returns a heartbeat with what is new since the last ones of its kind.
-func (g *Gossip) heartbeat(o *owner, t tellings, now time.Time) *heartbeat {
-	o.sequence++
+// heartbeat returns a heartbeat with the updates since the last ones of its kind.
+func (g *Gossip) heartbeat(l *loop, t sendTimes, now time.Time) *heartbeat {
+	l.sequence++
 	at := g.config.Book.Record().Position
 	return &heartbeat{
-		ID: g.config.Self.Incarnation, Sequence: o.sequence, Epoch: at.Epoch, Revision: at.Revision,
+		ID: g.config.Self.Incarnation, Sequence: l.sequence, Epoch: at.Epoch, Revision: at.Revision,
 		State: g.config.State(), Access: g.config.Book.Access(),
-		Loads: g.config.Work.Active(), Reading: g.config.Work.Reading(), Failures: g.config.Work.Failures(now), Contacts: o.contacts(contactsPerBeat), Crashes: o.crashes(now),
-		// Each placement is told twice, as datagrams get lost.
-		Placements: g.config.Work.Placements(now, t.before), Reports: g.config.Work.Reports(now, t.last),
-		Leaving: g.config.Book.Announced(now.Add(-leavingFor)),
+		Loads: g.config.Work.Active(), Reading: g.config.Work.Reading(), Failures: g.config.Work.Failures(now), Contacts: l.contacts(contactsPerHeartbeat), Crashes: l.crashes(now),
+		// Each placement is sent twice, as datagrams get lost.
+		Placements: g.config.Work.Placements(now, t.previous), EndpointLoads: g.config.Work.Reports(now, t.last),
+		Leaving: g.config.Book.Announced(now.Add(-repeatLeavingFor)),
 	}
 }
 
-// introduction is a heartbeat that tells who this node is, and many others.
-func (g *Gossip) introduction(o *owner, ask bool, now time.Time) []byte {
-	b := g.heartbeat(o, o.toAll, now)
-	b.From, b.Ask, b.Contacts = &g.config.Self, ask, o.contacts(contactsToNew)
+// introduction returns a heartbeat with this node's identity and many contacts.
+func (g *Gossip) introduction(l *loop, identify bool, now time.Time) []byte {
+	b := g.heartbeat(l, l.broadcastTimes, now)
+	b.From, b.Identify, b.Contacts = &g.config.Self, identify, l.contacts(contactsPerIntroduction)
 	b.Leaving = g.config.Book.Announced(time.Time{})
 	return g.encode(b)
 }
@@ -116,10 +117,10 @@
 	return data
 }
 
-// contacts draws some living nodes to name.
-func (o *owner) contacts(most int) []netip.Addr {
+// contacts returns the addresses of up to most random living nodes.
+func (l *loop) contacts(most int) []netip.Addr {
 	var list []netip.Addr
-	for _, n := range o.table.nodes {
+	for _, n := range l.table.nodes {
 		if n.alive {
 			list = append(list, n.addr)
 		}
@@ -128,28 +129,28 @@
 	return list[:min(len(list), most)]
 }
 
-// crashes returns those that are still to be told.
-func (o *owner) crashes(now time.Time) []Crash {
+// crashes returns the crashes to send, and forgets those repeated long enough.
+func (l *loop) crashes(now time.Time) []Crash {
 	var list []Crash
-	var rest []recentCrash
-	for _, r := range o.recent {
-		if now.Sub(r.at) > crashFor && r.at.Before(o.toAll.before) {
+	var pending []recentCrash
+	for _, r := range l.recentCrashes {
+		if now.Sub(r.at) > repeatCrashFor && r.at.Before(l.broadcastTimes.previous) {
 			continue
 		}
-		rest = append(rest, r)
-		if len(list) < crashesPerBeat {
+		pending = append(pending, r)
+		if len(list) < crashesPerHeartbeat {
 			list = append(list, r.crash)
 		}
 	}
-	o.recent = rest
+	l.recentCrashes = pending
 	return list
 }
 
-// send sends a datagram; what is lost is said again in the next one.
+// send sends a datagram without retry: later ones repeat the content.
 func (g *Gossip) send(to netip.Addr, data []byte) {
 	if len(data) == 0 {
 		return
 	}
-	g.config.Metrics.out(len(data))
+	g.config.Metrics.countSent(len(data))
 	_, _ = g.socket.WriteToUDPAddrPort(data, netip.AddrPortFrom(to, g.config.Port))
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -12,114 +12,114 @@
 )
 
 const (
-	// aliveFor is how long after its last heartbeat a node counts as alive at
-	// least: callers are sent to it, and its load counts.
-	aliveFor = 1200 * time.Millisecond
-	// aliveBeats is the same in heartbeats, for larger fleets: two may be lost.
-	aliveBeats = 2.5
-	// reachFor is how long a silent node is still sent heartbeats, so that
-	// nodes find each other again after a partition.
-	reachFor = 5 * time.Minute
+	// aliveTimeout is the least time after its last heartbeat for which a node
+	// counts as alive: it gets callers, and its load counts.
+	aliveTimeout = 1200 * time.Millisecond
+	// aliveHeartbeats is the same in heartbeat intervals, for larger fleets: two
+	// heartbeats may be lost.
+	aliveHeartbeats = 2.5
+	// forgetAfter is how long an unreachable node is still sent heartbeats, so
+	// that nodes find each other again after a partition.
+	forgetAfter = 5 * time.Minute
 )
 
 type (
-	// View is what a node knows of the others at one moment. It is immutable.
+	// View is a snapshot of what the node knows of the others. It is immutable.
 	View struct {
-		// Alive are the other nodes heard of lately, sorted by name.
+		// Alive are the other living nodes, sorted by name.
 		Alive []Member
-		// Known is how many nodes there are, this one and silent ones too.
+		// Known is the number of nodes, including this one and unreachable ones.
 		Known int
-		// Relayed says that the loads of most came through a relay.
+		// Relayed says that most loads came through a relay.
 		Relayed bool
 		loads   map[uint32]int
-		// reading are the tokens that endpoints are to read for other nodes.
+		// reading are other nodes' prompt tokens that endpoints have yet to process.
 		reading map[uint32]int
-		// failures are other nodes' attempts that endpoints have failed lately.
+		// failures are other nodes' recently failed attempts by endpoint.
 		failures map[uint32]int
-		// heard is the mean of the moments at which the living nodes were heard.
-		heard time.Time
-		// positions are those of the store that the living nodes know all up to,
-		// in their order.
+		// loadsAt is the mean time of the living nodes' loads.
+		loadsAt time.Time
+		// positions are the store positions of the nodes in Alive, in the same
+		// order.
 		positions []deployment.Position
 	}
 
-	// table is the control goroutine's knowledge of other nodes.
+	// table is what the control goroutine knows of other nodes.
 	table struct {
-		// nodes are all known ones by address, ids those that said who they are
-		// by incarnation.
+		// nodes are all known nodes by address, ids the identified ones by
+		// incarnation.
 		nodes map[netip.Addr]*node
 		ids   map[uint64]*node
 	}
 
 	node struct {
 		addr netip.Addr
-		// member is who the node is, with its newest State and Access; former
-		// is the incarnation before.
-		member Member
-		former uint64
-		heard  time.Time
-		first  time.Time
-		// covered is when a relay last told that it hears the node, and introduced
-		// when this incarnation of it became known.
-		covered    time.Time
-		introduced time.Time
-		sequence   uint64
-		position   deployment.Position
-		loads      map[uint32]int
-		reading    map[uint32]int
-		failures   map[uint32]int
-		alive      bool
-		// digest is that of the node's record at the position digested.
+		// member is the node's identity with its newest State and Access; previous
+		// is its previous incarnation.
+		member    Member
+		previous  uint64
+		lastSeen  time.Time
+		firstSeen time.Time
+		// coveredAt is when a relay last reported the node as alive, introducedAt
+		// when its present incarnation became known.
+		coveredAt    time.Time
+		introducedAt time.Time
+		sequence     uint64
+		position     deployment.Position
+		loads        map[uint32]int
+		reading      map[uint32]int
+		failures     map[uint32]int
+		alive        bool
+		// digest is that of the node's record at position digestAt.
 		digest   uint32
-		digested deployment.Position
+		digestAt deployment.Position
 	}
 
-	// hearing is what a heartbeat brought.
-	hearing int
+	// result is the effect of a heartbeat.
+	result int
 )
 
-// What a heartbeat brought.
+// Effects of a heartbeat.
 const (
-	// stale is an older one than the last.
-	stale hearing = iota
-	// stranger is one of a node that has not said who it is.
-	stranger
-	// usual is the next one of a living node.
-	usual
-	// changed is the same with another state or position.
-	changed
-	// regained is one of a node that was not alive before.
-	regained
+	// resultStale is an older heartbeat than the last.
+	resultStale result = iota
+	// resultUnknown is one of a node whose identity is not known.
+	resultUnknown
+	// resultCurrent is a newer one of a living node.
+	resultCurrent
+	// resultChanged is the same with another state or position.
+	resultChanged
+	// resultRecovered is one of a node that was not alive before.
+	resultRecovered
 )
 
-// Others returns the requests in progress at an endpoint that other nodes have
-// sent.
+// Others returns the requests in progress at an endpoint that other nodes sent.
 func (v *View) Others(key uint32) int { return v.loads[key] }
 
-// OthersReading returns the prompt tokens that an endpoint is still to read for
-// other nodes' requests.
+// OthersReading returns the prompt tokens of other nodes' requests that an
+// endpoint has yet to process.
 func (v *View) OthersReading(key uint32) int { return v.reading[key] }
 
-// OthersFailures returns the attempts of other nodes that an endpoint has failed
-// lately.
+// OthersFailures returns the recently failed attempts of other nodes at an
+// endpoint.
 func (v *View) OthersFailures(key uint32) int { return v.failures[key] }
 
-// informed draws a living node that knows more of the store than up to a position,
-// so that not all ask the same one.
-func (v *View) informed(after deployment.Position) (Member, bool) {
-	return v.draw(func(at deployment.Position) bool { return after.Before(at) })
+// aheadOf returns a living node whose position is newer. It is random, so that
+// not all nodes ask the same one.
+func (v *View) aheadOf(after deployment.Position) (Member, bool) {
+	return v.pick(func(at deployment.Position) bool { return after.Before(at) })
 }
 
-// contemporary draws a living node that knows an epoch.
-func (v *View) contemporary(epoch uint64) (Member, bool) {
-	return v.draw(func(at deployment.Position) bool { return at.Epoch == epoch && !at.IsZero() })
+// inEpoch returns a random living node whose position is in an epoch.
+func (v *View) inEpoch(epoch uint64) (Member, bool) {
+	return v.pick(func(at deployment.Position) bool { return at.Epoch == epoch && !at.IsZero() })
 }
 
-// draw draws a living node whose position fits.
-func (v *View) draw(fits func(at deployment.Position) bool) (Member, bool) {
+// pick returns a random living node whose position matches.
+func (v *View) pick(match func(at deployment.Position) bool) (Member, bool) {
 	var list []Member
 	for i, m := range v.Alive {
-		if fits(v.positions[i]) {
+		if match(v.positions[i]) {
 			list = append(list, m)
 		}
 	}
@@ -129,7 +129,7 @@
 	return list[rand.IntN(len(list))], true
 }
 
-// newest returns the newest position that a living node knows.
+// newest returns the newest position of a living node.
 func (v *View) newest() (newest deployment.Position) {
 	for _, at := range v.positions {
 		newest = deployment.Later(newest, at)
@@ -137,84 +137,85 @@
 	return newest
 }
 
-// Age returns how old the loads are on the mean over the living nodes.
+// Age returns the mean age of the living nodes' loads.
 func (v *View) Age(now time.Time) time.Duration {
-	if v.heard.IsZero() {
+	if v.loadsAt.IsZero() {
 		return 0
 	}
-	return max(now.Sub(v.heard), 0)
+	return max(now.Sub(v.loadsAt), 0)
 }
 
 func newTable() *table { return &table{nodes: map[netip.Addr]*node{}, ids: map[uint64]*node{}} }
 
-// learn notes that a node is at an address, and returns it.
-func (t *table) learn(addr netip.Addr, now time.Time) *node {
+// add adds the node at an address if it is new, and returns it.
+func (t *table) add(addr netip.Addr, now time.Time) *node {
 	n := t.nodes[addr]
 	if n == nil {
-		n = &node{addr: addr, first: now}
+		n = &node{addr: addr, firstSeen: now}
 		t.nodes[addr] = n
 	}
 	return n
 }
 
-// introduce notes who a node is. Datagrams overtake each other: one of a node's
-// earlier incarnation must not replace the present one.
-func (t *table) introduce(b *heartbeat, now time.Time) {
-	n := t.learn(b.From.IP, now)
-	if n.member.Incarnation == b.ID || n.former == b.ID {
+// identify records a node's identity. Datagrams may be reordered: one of a node's
+// previous incarnation must not replace the present one.
+func (t *table) identify(b *heartbeat, now time.Time) {
+	n := t.add(b.From.IP, now)
+	if n.member.Incarnation == b.ID || n.previous == b.ID {
 		return
 	}
 	delete(t.ids, n.member.Incarnation)
-	n.former = n.member.Incarnation
+	n.previous = n.member.Incarnation
 	n.member = *b.From
-	n.introduced, n.covered = now, time.Time{}
+	n.introducedAt, n.coveredAt = now, time.Time{}
 	n.member.Incarnation = b.ID
 	n.sequence = 0
 	t.ids[b.ID] = n
 }
 
-// heard notes a heartbeat and tells what it brought. An older one than the last
-// says nothing.
-func (t *table) heard(b *heartbeat, now time.Time) (*node, hearing) {
+// record applies a heartbeat and returns its effect. One that is not newer than
+// the last is ignored.
+func (t *table) record(b *heartbeat, now time.Time) (*node, result) {
 	if b.From != nil {
-		t.introduce(b, now)
+		t.identify(b, now)
 	}
 	n := t.ids[b.ID]
 	if n == nil {
 		if b.From != nil {
-			return nil, stale
+			return nil, resultStale
 		}
-		return nil, stranger
+		return nil, resultUnknown
 	}
 	if b.Sequence <= n.sequence {
-		return n, stale
+		return n, resultStale
 	}
-	brought := usual
+	res := resultCurrent
 	switch {
 	case !n.alive:
-		brought = regained
+		res = resultRecovered
 	case n.member.State != b.State || n.member.Access != b.Access || n.position != b.position():
-		brought = changed
+		res = resultChanged
 	}
 	n.member.State, n.member.Access = b.State, b.Access
 	n.sequence, n.position, n.loads, n.reading, n.failures = b.Sequence, b.position(), b.Loads, b.Reading, b.Failures
-	n.heard, n.alive = now, true
+	n.lastSeen, n.alive = now, true
 	if b.Digest != 0 {
-		n.digest, n.digested = b.Digest, b.position()
+		n.digest, n.digestAt = b.Digest, b.position()
 	}
-	return n, brought
+	return n, res
 }
 
-// expire marks silent nodes and returns those it marked.
+// expire marks nodes as not alive after the timeout and returns them, and
+// forgets those unreachable for long.
 func (t *table) expire(now time.Time) []*node {
-	patience := max(aliveFor, time.Duration(aliveBeats*float64(interval(len(t.nodes)+1))))
+	timeout := max(aliveTimeout, time.Duration(aliveHeartbeats*float64(interval(len(t.nodes)+1))))
 	var lost []*node
 	for addr, n := range t.nodes {
-		if n.alive && now.Sub(later(n.heard, n.covered)) > patience {
+		if n.alive && now.Sub(later(n.lastSeen, n.coveredAt)) > timeout {
 			n.alive = false
 			lost = append(lost, n)
 		}
-		if !n.alive && now.Sub(later(n.heard, n.first)) > reachFor {
+		if !n.alive && now.Sub(later(n.lastSeen, n.firstSeen)) > forgetAfter {
 			delete(t.nodes, addr)
 			delete(t.ids, n.member.Incarnation)
 		}
@@ -222,8 +223,8 @@
 	return lost
 }
 
-// view returns what the node knows. Of the nodes that relays cover it takes the
-// sums, of the others their own last word.
+// view returns a view of the table. It uses the sums for nodes that relays cover,
+// and the last heartbeat for others.
 func (t *table) view(now time.Time, sums *relay.Sums) *View {
 	living := make([]*node, 0, len(t.nodes))
 	for _, n := range t.nodes {
@@ -240,11 +241,11 @@
 	for _, n := range living {
 		v.Alive = append(v.Alive, n.member)
 		v.positions = append(v.positions, n.position)
-		if sums.Covers(short(n.member.Incarnation)) {
+		if sums.Covers(shortID(n.member.Incarnation)) {
 			ages += sums.Age
 			continue
 		}
-		ages += now.Sub(n.heard)
+		ages += now.Sub(n.lastSeen)
 		for key, load := range n.loads {
 			v.loads[key] += load
 		}
@@ -256,7 +257,7 @@
 		}
 	}
 	if len(living) > 0 {
-		v.heard = now.Add(-ages / time.Duration(len(living)))
+		v.loadsAt = now.Add(-ages / time.Duration(len(living)))
 	}
 	return v
 }
--- a/internal/relay/contacts.go
+++ b/internal/relay/contacts.go
@@ -7,127 +7,128 @@
 )
 
 const (
-	// relaysPerZone is how many relays of a zone are talked to: one may die.
+	// relaysPerZone is how many relays of a zone are contacted: one may die.
 	relaysPerZone = 2
-	// answerIn is how long a relay may be silent that is talked to: three answers
-	// at 195 nodes. skipFor is how long it is then passed over.
-	answerIn = 450 * time.Millisecond
-	skipFor  = 3 * time.Second
-	// relaysTried bounds the relays that are talked to while others are passed
-	// over: after many deaths some of the next ones are dead too, and one after
-	// the other would take seconds to find.
-	relaysTried = 16
+	// responseTimeout is how long a contacted relay may be unresponsive: three
+	// responses at 195 nodes. It is then skipped for skipFor.
+	responseTimeout = 450 * time.Millisecond
+	skipFor         = 3 * time.Second
+	// maxTried bounds the contacted relays while others are skipped: after many
+	// deaths some of the next candidates are dead too, and trying one after the
+	// other would take seconds.
+	maxTried = 16
 )
 
 type (
-	// contacts are the relays of one zone that a node talks to, and whether they
-	// answer.
+	// contacts are the relays of one zone that a node contacts, and whether they
+	// respond.
 	contacts struct {
-		asked map[ID]contact
-		// skipped is until when relays are passed over that did not answer.
+		active map[ID]contact
+		// skipped is until when unresponsive relays are skipped.
 		skipped map[ID]time.Time
-		// spoke is when any of the zone was last heard, zero if none ever was.
-		spoke time.Time
+		// lastSeen is when any relay of the zone was last heard from, zero if never.
+		lastSeen time.Time
 	}
 
-	// contact is one relay that is talked to: since when, and when it was last
-	// heard.
-	contact struct{ since, heard time.Time }
+	// contact is a contacted relay: since when, and when it was last heard from.
+	contact struct{ since, lastSeen time.Time }
 )
 
 func newContacts() *contacts {
-	return &contacts{asked: map[ID]contact{}, skipped: map[ID]time.Time{}}
+	return &contacts{active: map[ID]contact{}, skipped: map[ID]time.Time{}}
 }
 
-// heard notes a word of a relay.
-func (c *contacts) heard(now time.Time, id ID) {
-	c.spoke = now
-	c.sound(now, id)
+// received records a message from a relay.
+func (c *contacts) received(now time.Time, id ID) {
+	c.lastSeen = now
+	c.markAlive(now, id)
 }
 
-// sound notes that a relay is there, if it is talked to.
-func (c *contacts) sound(now time.Time, id ID) {
-	if k, ok := c.asked[id]; ok {
-		c.asked[id] = contact{since: k.since, heard: now}
+// markAlive records that a relay is alive, if it is contacted.
+func (c *contacts) markAlive(now time.Time, id ID) {
+	if k, ok := c.active[id]; ok {
+		c.active[id] = contact{since: k.since, lastSeen: now}
 	}
 	delete(c.skipped, id)
 }
 
-// talks reports whether a relay is talked to.
-func (c *contacts) talks(id ID) bool {
-	_, ok := c.asked[id]
+// has reports whether a relay is contacted.
+func (c *contacts) has(id ID) bool {
+	_, ok := c.active[id]
 	return ok
 }
 
-// answers reports whether a relay that is talked to answers.
-func (c *contacts) answers(now time.Time, id ID) bool { return now.Sub(c.asked[id].heard) <= answerIn }
+// responds reports whether a contacted relay responds.
+func (c *contacts) responds(now time.Time, id ID) bool {
+	return now.Sub(c.active[id].lastSeen) <= responseTimeout
+}
 
-// any reports whether a relay other than the node itself answers.
+// any reports whether a relay other than the node itself responds.
 func (c *contacts) any(now time.Time, self ID) bool {
-	for id := range c.asked {
-		if id != self && c.answers(now, id) {
+	for id := range c.active {
+		if id != self && c.responds(now, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// choose returns the relays to talk to from now on: the first two of a list that
-// are not passed over. Until they answer, others that do are kept, and while
-// none does, more are tried, each until it answers or is passed over: were those
-// dropped that have not answered yet, they would be tried again two by two.
+// choose returns the relays to contact from now on: the first two of a list that
+// are not skipped. Until they respond, others that do are kept. While none does,
+// more are tried, each until it responds or is skipped: if those that have yet to
+// respond were dropped, they would be tried again two at a time.
 func (c *contacts) choose(now time.Time, list []Peer, self ID) []Peer {
-	c.skip(now)
-	wide := len(c.skipped) > 0 && !c.any(now, self)
+	c.skipSilent(now)
+	widen := len(c.skipped) > 0 && !c.any(now, self)
 	var chosen []Peer
-	first, sure := 0, 0
+	first, responding := 0, 0
 	for _, p := range list {
 		if _, skip := c.skipped[p.ID]; skip {
 			continue
 		}
-		answers := c.answers(now, p.ID)
+		responds := c.responds(now, p.ID)
 		switch {
 		case first < relaysPerZone:
 			first++
-		case answers && sure >= relaysPerZone:
+		case responds && responding >= relaysPerZone:
 			continue
-		case !answers && !c.talks(p.ID) && (!wide || len(chosen) >= relaysTried):
+		case !responds && !c.has(p.ID) && (!widen || len(chosen) >= maxTried):
 			continue
 		}
-		if answers {
-			sure++
+		if responds {
+			responding++
 		}
 		chosen = append(chosen, p)
 	}
-	asked := make(map[ID]contact, len(chosen))
+	active := make(map[ID]contact, len(chosen))
 	for _, p := range chosen {
-		k, ok := c.asked[p.ID]
+		k, ok := c.active[p.ID]
 		if !ok {
 			k.since = now
 		}
-		asked[p.ID] = k
+		active[p.ID] = k
 	}
-	c.asked = asked
+	c.active = active
 	return chosen
 }
 
-// skip passes over relays that do not answer, for a while.
-func (c *contacts) skip(now time.Time) {
+// skipSilent skips unresponsive relays for skipFor.
+func (c *contacts) skipSilent(now time.Time) {
 	for id, until := range c.skipped {
 		if now.After(until) {
 			delete(c.skipped, id)
 		}
 	}
-	for id, k := range c.asked {
-		if now.Sub(k.since) > answerIn && now.Sub(k.heard) > answerIn {
+	for id, k := range c.active {
+		if now.Sub(k.since) > responseTimeout && now.Sub(k.lastSeen) > responseTimeout {
 			c.skipped[id] = now.Add(skipFor)
 		}
 	}
 }
 
-// order returns the peers of each zone that can be relays, first those with the
-// most processor time, and of these in an order that all nodes know.
-func order(self Peer, peers []Peer) map[string][]Peer {
+// rankRelays returns the candidate relays of each zone: those with the most
+// processor time first, and among equals in an order that all nodes share.
+func rankRelays(self Peer, peers []Peer) map[string][]Peer {
 	zones := map[string][]Peer{self.Zone: {self}}
 	for _, p := range peers {
 		if p.Power > 0 {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -1,13 +1,13 @@
-// Package relay tells the nodes of a large fleet what all the others are doing,
-// at a cost to each that does not grow with their number.
+// Package relay aggregates the state of a large fleet's nodes and distributes it
+// to all of them, at a cost to each that does not grow with their number.
 //
-// Each node reports to two relays of its availability zone. A relay sums up what
-// is reported to it, tells that to the other relays, and the sums of all zones
-// to its followers. Any node may be a relay; which ones are follows from an order
-// that all nodes know. Sums are told whole each time and replace those before, so
-// that nothing is counted twice when one is repeated or a relay dies.
+// Each node reports to two relays of its availability zone. A relay sums up its
+// reports, sends the sums to the other relays, and those of all zones to its
+// followers. Any node may be a relay; an order that all nodes share determines
+// which ones are. Each message has complete sums, which replace the previous ones,
+// so that nothing is counted twice if one is repeated or a relay dies.
 //
-// A Node is one node's part in this, without network or clock.
+// A Node implements one node's part, without network or clock.
 package relay
 
 import (
@@ -23,28 +23,28 @@
 const idBytes = 4
 
 type (
-	// ID is the short name of a node's incarnation between nodes.
+	// ID is the short form of a node's incarnation used between nodes.
 	ID uint32
 
-	// IDs is a list of them, encoded.
+	// IDs is an encoded list of IDs.
 	IDs []byte
 
-	// Mark is what a node says of itself in one byte: its state and whether it
-	// reads the store, which the relay does not interpret.
-	Mark uint8
+	// Status is a node's state and store access in one byte, which relays do not
+	// interpret.
+	Status uint8
 
-	// Peer is another node that is believed to live.
+	// Peer is another node that is considered alive.
 	Peer struct {
 		ID   ID
 		Zone string
 		Addr netip.Addr
 		// Power is the node's processor time in thousandths of a core; 0 if it
-		// does not say, or cannot be a relay.
+		// does not report it, or cannot be a relay.
 		Power int
-		// Heard is when the node itself was last heard, and First when it
-		// became known.
-		Heard time.Time
-		First time.Time
+		// LastSeen is when a message came from the node itself, and FirstSeen
+		// when it became known.
+		LastSeen  time.Time
+		FirstSeen time.Time
 	}
 
 	// Crash is an endpoint that broke off while it ran a request, and the
@@ -54,99 +54,99 @@
 		Endpoint uint32 `cbor:"2,keyasint"`
 	}
 
-	// News is what is told once, and not again as long as it holds.
-	News struct {
+	// Updates are sent only when they are new, unlike the rest of a report.
+	Updates struct {
 		// Placements are where nodes have sent parts of prompts.
 		Placements []balance.Placement `cbor:"1,keyasint,omitempty"`
-		// EndpointLoads are what endpoints have said of their own load.
+		// EndpointLoads are the loads that endpoints have reported.
 		EndpointLoads map[uint32]int `cbor:"2,keyasint,omitempty"`
 		Crashes       []Crash        `cbor:"3,keyasint,omitempty"`
-		// Leaving are endpoints that have said themselves that they leave.
+		// Leaving are endpoints that have announced that they leave.
 		Leaving []uint32 `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Report is what one node tells its relays of itself.
+	// Report is what one node reports of itself to its relays.
 	Report struct {
 		ID       ID
 		Addr     netip.Addr
 		Sequence uint64
-		Mark     Mark
-		// Position is that of the store up to which the node knows all.
+		Status   Status
+		// Position is the store's position up to which the node is up to date.
 		deployment.Position
 		// Loads are its requests in progress by endpoint, and Reading the prompt
-		// tokens that endpoints are still to read for them.
+		// tokens of these that endpoints have yet to process.
 		Loads   map[uint32]int
 		Reading map[uint32]int
-		// Failures are its attempts that endpoints have failed lately.
+		// Failures are its recently failed attempts by endpoint.
 		Failures map[uint32]int
-		// Follows says that the relay is to tell the sums to the node.
+		// Follows asks the relay for summaries of the fleet.
 		Follows bool
-		News
+		Updates
 	}
 
-	// Summary is what a relay knows of its availability zone or, to its
+	// Summary is a relay's summary of its availability zone or, to its
 	// followers, of the fleet.
 	Summary struct {
 		// ID and Zone are the relay's.
 		ID       ID     `cbor:"1,keyasint"`
 		Zone     string `cbor:"2,keyasint,omitempty"`
 		Sequence uint64 `cbor:"3,keyasint"`
-		// Whole says that it is of the fleet.
-		Whole bool `cbor:"4,keyasint,omitempty"`
-		// Covered are the nodes whose loads are in the sums, and Marks what they
-		// say of themselves, in the same order.
-		Covered IDs    `cbor:"5,keyasint,omitempty"`
-		Marks   []byte `cbor:"6,keyasint,omitempty"`
-		// Lost are nodes that have fallen silent.
+		// Fleet says that the summary is of the fleet.
+		Fleet bool `cbor:"4,keyasint,omitempty"`
+		// Covered are the nodes whose loads are in the sums, and Statuses their
+		// statuses in the same order.
+		Covered  IDs    `cbor:"5,keyasint,omitempty"`
+		Statuses []byte `cbor:"6,keyasint,omitempty"`
+		// Lost are nodes that have become unreachable.
 		Lost IDs `cbor:"7,keyasint,omitempty"`
-		// Loads, Reading and Failures are the sums over the nodes covered.
+		// Loads, Reading and Failures are the sums over the covered nodes.
 		Loads   map[uint32]int `cbor:"8,keyasint,omitempty"`
 		Reading map[uint32]int `cbor:"9,keyasint,omitempty"`
-		// Age is how old the loads are on the mean, and Oldest at most.
+		// Age is the mean age of the loads, and Oldest the highest.
 		Age    time.Duration `cbor:"10,keyasint"`
 		Oldest time.Duration `cbor:"11,keyasint"`
-		// Epoch and Revision are the newest position of the store that a node
-		// covered knows, and Informed some of those that do.
+		// Epoch and Revision are the newest store position of a covered node, and
+		// UpToDate some of the nodes at that position.
 		Epoch    uint64         `cbor:"16,keyasint,omitempty"`
 		Revision uint64         `cbor:"12,keyasint"`
-		Informed IDs            `cbor:"13,keyasint,omitempty"`
-		News     News           `cbor:"14,keyasint"`
+		UpToDate IDs            `cbor:"13,keyasint,omitempty"`
+		Updates  Updates        `cbor:"14,keyasint"`
 		Failures map[uint32]int `cbor:"15,keyasint,omitempty"`
 	}
 
-	// Message is what a node has to send.
+	// Message is a message to send.
 	Message struct {
 		To netip.Addr
-		// Report is the node's own report with Follows as it is to be sent, or
+		// Report is the node's own report, with Follows set for the receiver, or
 		// nil.
 		Report *Report
-		// Summary is one to another node, or nil. One Summary goes to many.
+		// Summary is a summary for another node, or nil. Many nodes get the same.
 		Summary *Summary
-		// Told is the number of the follower's last report that is in the sums.
-		Told uint64
+		// Sequence is that of the follower's last report included in the sums.
+		Sequence uint64
 	}
 )
 
 // Add adds a node to the list.
 func (l IDs) Add(id ID) IDs { return binary.BigEndian.AppendUint32(l, uint32(id)) }
 
-// Each calls a function with each node of the list.
+// Each calls do with each node of the list.
 func (l IDs) Each(do func(i int, id ID)) {
 	for i := 0; (i+1)*idBytes <= len(l); i++ {
 		do(i, ID(binary.BigEndian.Uint32(l[i*idBytes:])))
 	}
 }
 
-// Len returns how many nodes the list has.
+// Len returns the number of nodes in the list.
 func (l IDs) Len() int { return len(l) / idBytes }
 
-// Position returns the newest position of the store that a node covered knows.
+// Position returns the newest store position of a covered node.
 func (s *Summary) Position() deployment.Position {
 	return deployment.Position{Epoch: s.Epoch, Revision: s.Revision}
 }
 
-// valid reports whether a summary that came from a peer holds together.
+// valid reports whether a summary from a peer is consistent.
 func (s *Summary) valid() bool {
-	return s.ID != 0 && len(s.Covered)%idBytes == 0 && len(s.Lost)%idBytes == 0 && len(s.Marks) == s.Covered.Len() &&
+	return s.ID != 0 && len(s.Covered)%idBytes == 0 && len(s.Lost)%idBytes == 0 && len(s.Statuses) == s.Covered.Len() &&
 		s.Age >= 0 && s.Oldest >= s.Age && (s.Zone != "" || s.Covered.Len() == 0)
 }
--- a/internal/relay/news.go
+++ b/internal/relay/news.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// tellings is how often each piece of news is told to one receiver, as
-	// datagrams get lost: 2.5 % of two in a row are 0.06 %.
-	tellings = 2
-	// newsPerSummary bounds the placements in a summary: some 1.2 KB, 300 new ones
-	// a second. What is over waits, newsWaiting at most; the oldest is dropped,
-	// as a placement that is told seconds later says little.
-	newsPerSummary = 80
-	newsWaiting    = 4 * newsPerSummary
-	// forgetNews is how long a relay remembers that it has told a placement: the
-	// two relays of a zone tell the same, and each node that sends a part of a
-	// prompt on tells so again. It is half the time for which a part counts as
-	// kept.
-	forgetNews = 15 * time.Second
-	// seenMost bounds what is remembered: some 600 KB.
-	seenMost = 16_384
+	// sendsPerUpdate is how often each update is sent to one receiver, as
+	// datagrams get lost: with 2.5 % lost, both are in 0.06 % of cases.
+	sendsPerUpdate = 2
+	// updatesPerSummary bounds the placements in a summary: some 1.2 KB, 300 new
+	// ones a second. Up to maxPending more are queued, and the oldest of these
+	// dropped: a placement that arrives seconds late is of little use.
+	updatesPerSummary = 80
+	maxPending        = 4 * updatesPerSummary
+	// seenTTL is how long a relay remembers the updates it passed on: the two
+	// relays of a zone send the same ones, and each node that sends a part of a
+	// prompt again reports the placement again. It is half the time for which a
+	// part counts as cached.
+	seenTTL = 15 * time.Second
+	// maxSeen bounds the remembered updates: some 600 KB.
+	maxSeen = 16_384
 )
 
 type (
-	// outbox is news that waits to be told.
+	// outbox is the queue of updates to send.
 	outbox struct {
-		placements []waiting[balance.Placement]
-		crashes    []waiting[Crash]
-		leaving    []waiting[uint32]
+		placements []pending[balance.Placement]
+		crashes    []pending[Crash]
+		leaving    []pending[uint32]
 		loads      map[uint32]int
 	}
 
-	// waiting is a piece of news and how often it is still to be told.
-	waiting[T any] struct {
-		news T
-		left int
+	// pending is an update and how many sends are left.
+	pending[T any] struct {
+		update T
+		sends  int
 	}
 
-	// seen remembers which news has been passed on lately.
+	// seen remembers which updates were passed on recently.
 	seen struct {
 		placements map[balance.Placement]time.Time
 		crashes    map[Crash]time.Time
@@ -51,21 +51,21 @@
 	return &seen{placements: map[balance.Placement]time.Time{}, crashes: map[Crash]time.Time{}, leaving: map[uint32]time.Time{}}
 }
 
-// fresh returns what of some news was not seen before, and remembers it.
-func (s *seen) fresh(now time.Time, n News) News {
-	return News{
-		Placements: unseen(s.placements, now, n.Placements), Crashes: unseen(s.crashes, now, n.Crashes),
-		Leaving: unseen(s.leaving, now, n.Leaving), EndpointLoads: n.EndpointLoads,
+// filter returns the updates that were not seen recently, and remembers them.
+func (s *seen) filter(now time.Time, n Updates) Updates {
+	return Updates{
+		Placements: filterSeen(s.placements, now, n.Placements), Crashes: filterSeen(s.crashes, now, n.Crashes),
+		Leaving: filterSeen(s.leaving, now, n.Leaving), EndpointLoads: n.EndpointLoads,
 	}
 }
 
-func unseen[T comparable](known map[T]time.Time, now time.Time, list []T) []T {
-	if len(known) > seenMost {
+func filterSeen[T comparable](known map[T]time.Time, now time.Time, list []T) []T {
+	if len(known) > maxSeen {
 		clear(known)
 	}
 	var fresh []T
 	for _, item := range list {
-		if at, ok := known[item]; ok && now.Sub(at) < forgetNews {
+		if at, ok := known[item]; ok && now.Sub(at) < seenTTL {
 			continue
 		}
 		known[item] = now
@@ -74,26 +74,26 @@
 	return fresh
 }
 
-// forget drops what is too old to matter.
-func (s *seen) forget(now time.Time) {
-	drop(s.placements, now)
-	drop(s.crashes, now)
-	drop(s.leaving, now)
+// expire forgets updates older than seenTTL.
+func (s *seen) expire(now time.Time) {
+	expireEntries(s.placements, now)
+	expireEntries(s.crashes, now)
+	expireEntries(s.leaving, now)
 }
 
-func drop[T comparable](known map[T]time.Time, now time.Time) {
+func expireEntries[T comparable](known map[T]time.Time, now time.Time) {
 	for item, at := range known {
-		if now.Sub(at) >= forgetNews {
+		if now.Sub(at) >= seenTTL {
 			delete(known, item)
 		}
 	}
 }
 
-// add puts news into the outbox.
-func (o *outbox) add(n News) {
-	o.placements = wait(o.placements, n.Placements)
-	o.crashes = wait(o.crashes, n.Crashes)
-	o.leaving = wait(o.leaving, n.Leaving)
+// add queues updates.
+func (o *outbox) add(n Updates) {
+	o.placements = enqueue(o.placements, n.Placements)
+	o.crashes = enqueue(o.crashes, n.Crashes)
+	o.leaving = enqueue(o.leaving, n.Leaving)
 	if o.loads == nil {
 		o.loads = map[uint32]int{}
 	}
@@ -102,36 +102,36 @@
 	}
 }
 
-// take returns what is to be told now, once.
-func (o *outbox) take() News {
-	var n News
-	n.Placements, o.placements = told(o.placements)
-	n.Crashes, o.crashes = told(o.crashes)
-	n.Leaving, o.leaving = told(o.leaving)
+// take removes and returns the updates to send now.
+func (o *outbox) take() Updates {
+	var n Updates
+	n.Placements, o.placements = dequeue(o.placements)
+	n.Crashes, o.crashes = dequeue(o.crashes)
+	n.Leaving, o.leaving = dequeue(o.leaving)
 	n.EndpointLoads, o.loads = o.loads, nil
 	return n
 }
 
-// wait adds news to what waits.
-func wait[T any](out []waiting[T], list []T) []waiting[T] {
+// enqueue adds updates to a queue and drops the oldest beyond maxPending.
+func enqueue[T any](out []pending[T], list []T) []pending[T] {
 	for _, item := range list {
-		out = append(out, waiting[T]{news: item, left: tellings})
+		out = append(out, pending[T]{update: item, sends: sendsPerUpdate})
 	}
-	return out[max(len(out)-newsWaiting, 0):]
+	return out[max(len(out)-maxPending, 0):]
 }
 
-// told returns the news to tell, and what waits after that.
-func told[T any](list []waiting[T]) ([]T, []waiting[T]) {
+// dequeue returns the updates to send now and the remaining queue.
+func dequeue[T any](list []pending[T]) ([]T, []pending[T]) {
 	var now []T
-	var rest []waiting[T]
+	var rest []pending[T]
 	for i, w := range list {
-		if i >= newsPerSummary {
+		if i >= updatesPerSummary {
 			rest = append(rest, w)
 			continue
 		}
-		now = append(now, w.news)
-		if w.left > 1 {
-			rest = append(rest, waiting[T]{news: w.news, left: w.left - 1})
+		now = append(now, w.update)
+		if w.sends > 1 {
+			rest = append(rest, pending[T]{update: w.update, sends: w.sends - 1})
 		}
 	}
 	return now, rest
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// Least is the number of nodes from which they need relays. Below it each
-	// tells all others several times a second.
-	Least = 100
+	// MaxDirect is the default size of the largest fleet without relays. In it
+	// each node sends to all others several times a second.
+	MaxDirect = 100
 
-	// stepBase is the time between two reports, and two summaries, in a fleet of
-	// up to stepNodes; each further node adds stepMore, so that with the loads
-	// of more endpoints a summary may be larger. News takes three steps at most:
-	// to the relay, to the other relays, to their followers.
-	stepBase  = 130 * time.Millisecond
-	stepNodes = 200
-	stepMore  = 800 * time.Microsecond
+	// baseStep is the time between two reports, and two summaries, in a fleet of
+	// up to stepNodes. Each further node adds stepPerNode, as the loads of more
+	// endpoints make summaries larger. An update takes at most three steps: to
+	// the relay, to the other relays, to their followers.
+	baseStep    = 130 * time.Millisecond
+	stepNodes   = 200
+	stepPerNode = 800 * time.Microsecond
 
-	// lostAfter is how long a node that reported is silent until it is lost:
-	// five reports at 195 nodes. One in forty gets lost, so that five in a row to
-	// each of two relays are.
+	// lostAfter is how long a node that reported may be unreachable until it is
+	// lost: five reports at 195 nodes. One in forty datagrams is lost, so a live
+	// node is affected only if five in a row to each of two relays are.
 	lostAfter = 650 * time.Millisecond
-	// settle is how long a relay waits for the nodes of its zone to find it
-	// until it says of those that never did that they are lost: they all look
-	// for another relay within answerIn of the same death.
-	settle = 900 * time.Millisecond
-	// zoneAfter is how long nothing is heard of any relay of a zone until its
-	// nodes are lost: others have taken over by then, if any node lives.
-	zoneAfter = 1500 * time.Millisecond
-	// lostFor is how long a loss is told again.
-	lostFor = 3 * time.Second
-	// partFor is how long the summary of a relay counts after it came.
-	partFor = time.Second
-	// informedTold is how many of the nodes that know the newest revision are
-	// named, so that not all ask one.
-	informedTold = 8
-	// reportsKept is how many of its own reports a node remembers, to know what
-	// of the sums is its own: 2.4 s.
+	// settleTime is how long a relay waits for the nodes of its zone to report
+	// before it declares those that never did lost: they all choose another relay
+	// within responseTimeout of the same death.
+	settleTime = 900 * time.Millisecond
+	// zoneLostAfter is how long no relay of a zone may be heard from until the
+	// zone's nodes are lost: others take over before then, if any node lives.
+	zoneLostAfter = 1500 * time.Millisecond
+	// repeatLossFor is how long the loss of a node is repeated.
+	repeatLossFor = 3 * time.Second
+	// partTTL is how long a relay's summary is valid after it was received.
+	partTTL = time.Second
+	// maxUpToDate bounds the nodes at the newest position that a summary names;
+	// more than one, so that not all nodes ask the same one.
+	maxUpToDate = 8
+	// reportsKept is how many of its own reports a node keeps, to subtract its
+	// share from the sums: 2.4 s.
 	reportsKept = 16
 )
 
@@ -59,213 +59,214 @@
 		config    Config
 		sequence  uint64
 		followers map[ID]*follower
-		// since is when this node got its first follower, zero if it has none.
-		since time.Time
-		parts map[ID]*part
-		// lost is when nodes of this zone were found silent, and unheard the same
-		// of zones of which no relay is heard.
-		lost    map[ID]time.Time
-		unheard map[ID]time.Time
-		// whole is the newest summary of the fleet, and told the number of the
-		// own report that is in it.
-		whole   *Summary
-		wholeAt time.Time
-		told    uint64
-		// serving is the relay that this node follows, 0 if it follows all that it
-		// reports to until one answers.
-		serving ID
-		// zones are the relays of each zone that the node talks to.
-		zones   map[string]*contacts
-		reports []Report
-		seen    *seen
-		// toRelays is news of this zone for the other relays, toFollowers that of
-		// all zones.
+		// relaySince is when this node got its first follower, zero if it has none.
+		relaySince time.Time
+		parts      map[ID]*part
+		// lost is when nodes of this zone became unreachable, zoneLost the same for
+		// zones of which no relay is heard from.
+		lost     map[ID]time.Time
+		zoneLost map[ID]time.Time
+		// fleet is the newest summary of the fleet, and ownSequence that of the own
+		// report included in it.
+		fleet       *Summary
+		fleetAt     time.Time
+		ownSequence uint64
+		// following is the relay that this node follows; 0 if it follows all that
+		// it reports to until one responds.
+		following ID
+		// zoneContacts are the contacted relays by zone.
+		zoneContacts map[string]*contacts
+		ownReports   []Report
+		seen         *seen
+		// toRelays are updates of this zone for the other relays, toFollowers those
+		// of all zones for the followers.
 		toRelays    outbox
 		toFollowers outbox
 	}
 
 	// follower is a node that reports to this one.
 	follower struct {
-		report Report
-		heard  time.Time
+		report   Report
+		lastSeen time.Time
 	}
 
-	// part is a zone's summary, from one of its relays.
+	// part is a zone's summary from one of its relays.
 	part struct {
-		summary *Summary
-		at      time.Time
-		peer    Peer
+		summary    *Summary
+		receivedAt time.Time
+		peer       Peer
 	}
 )
 
-// Step returns the time between two calls of Step in a fleet of some size.
+// Step returns the time between two calls of Node.Step in a fleet of some size.
 func Step(nodes int) time.Duration {
-	return stepBase + time.Duration(max(nodes-stepNodes, 0))*stepMore
+	return baseStep + time.Duration(max(nodes-stepNodes, 0))*stepPerNode
 }
 
-// New returns a Node that knows nobody.
+// New returns a Node that knows no other nodes.
 func New(c Config) *Node {
 	return &Node{
-		config: c, followers: map[ID]*follower{}, parts: map[ID]*part{}, lost: map[ID]time.Time{}, unheard: map[ID]time.Time{},
-		zones: map[string]*contacts{c.Zone: newContacts()}, seen: newSeen(),
+		config: c, followers: map[ID]*follower{}, parts: map[ID]*part{}, lost: map[ID]time.Time{}, zoneLost: map[ID]time.Time{},
+		zoneContacts: map[string]*contacts{c.Zone: newContacts()}, seen: newSeen(),
 	}
 }
 
-// Step makes what is due: the node's own report and, where it is a relay, the
-// summaries for others. It returns what to send.
+// Step does the periodic work and returns the messages to send: the node's own
+// report and, if it is a relay, summaries for other nodes.
 func (n *Node) Step(now time.Time, peers []Peer, own Report) []Message {
-	n.keep(own)
-	zones := order(Peer{ID: n.config.ID, Zone: n.config.Zone, Power: n.config.Power}, peers)
-	relays, first := n.choose(now, zones[n.config.Zone])
+	n.rememberReport(own)
+	zones := rankRelays(Peer{ID: n.config.ID, Zone: n.config.Zone, Power: n.config.Power}, peers)
+	relays, first := n.chooseRelays(now, zones[n.config.Zone])
 	var messages []Message
 	for _, r := range relays {
 		report := own
-		report.Follows = !first && (n.serving == 0 || r.ID == n.serving)
+		report.Follows = !first && (n.following == 0 || r.ID == n.following)
 		messages = append(messages, Message{To: r.Addr, Report: &report})
 	}
-	n.drop(now)
+	n.expire(now)
 	if !first && len(n.followers) == 0 {
 		return messages
 	}
-	n.learn(now, own.News)
-	return append(messages, n.relay(now, peers, n.others(now, zones, relays), own, first)...)
+	n.addUpdates(now, own.Updates)
+	return append(messages, n.summaries(now, peers, n.summaryTargets(now, zones, relays), own, first)...)
 }
 
-// relay returns the summaries for others. One of the first relays of its zone
-// follows no other, and takes its own summary of the fleet.
-func (n *Node) relay(now time.Time, peers, others []Peer, own Report, first bool) []Message {
+// summaries returns the summaries to send. One of the first relays of its zone
+// follows no other relay but uses its own summary of the fleet.
+func (n *Node) summaries(now time.Time, peers, targets []Peer, own Report, first bool) []Message {
 	n.sequence++
-	zone := n.sum(now, peers, own, first)
-	whole := n.compose(now, peers, zone)
+	zone := n.zoneSummary(now, peers, own, first)
+	fleet := n.fleetSummary(now, peers, zone)
 	var messages []Message
-	for _, p := range others {
+	for _, p := range targets {
 		messages = append(messages, Message{To: p.Addr, Summary: zone})
 	}
-	here := &Summary{ID: n.config.ID, Sequence: n.sequence}
+	presence := &Summary{ID: n.config.ID, Sequence: n.sequence}
 	for _, f := range sorted(n.followers) {
-		m := Message{To: f.report.Addr, Summary: here}
+		m := Message{To: f.report.Addr, Summary: presence}
 		if f.report.Follows {
-			m.Summary, m.Told = whole, f.report.Sequence
+			m.Summary, m.Sequence = fleet, f.report.Sequence
 		}
 		messages = append(messages, m)
 	}
 	if first {
-		n.take(now, whole, own.Sequence)
+		n.setFleet(now, fleet, own.Sequence)
 	}
 	return messages
 }
 
-// Relay returns the relay from which the node knows what the others do, itself if
-// it is one, and how many nodes report to it; 0 if none tells it.
+// Relay returns the relay whose summaries the node uses, itself if it is a first
+// relay and 0 if there is none, and how many nodes report to this one.
 func (n *Node) Relay(now time.Time) (ID, int) {
-	if w := n.Whole(now); w != nil {
+	if w := n.Fleet(now); w != nil {
 		return w.ID, len(n.followers)
 	}
 	return 0, len(n.followers)
 }
 
-// Heard takes the report of a node that has chosen this one as its relay.
-func (n *Node) Heard(now time.Time, r Report) {
+// ReceiveReport handles the report of a node that chose this one as its relay.
+func (n *Node) ReceiveReport(now time.Time, r Report) {
 	if f := n.followers[r.ID]; f != nil && f.report.Sequence >= r.Sequence {
 		return
 	}
 	if len(n.followers) == 0 {
-		n.since = now
+		n.relaySince = now
 	}
-	n.followers[r.ID] = &follower{report: r, heard: now}
+	n.followers[r.ID] = &follower{report: r, lastSeen: now}
 	delete(n.lost, r.ID)
-	n.learn(now, r.News)
+	n.addUpdates(now, r.Updates)
 }
 
-// Take takes a summary of another node, and reports whether it is one of the
-// fleet that is newer than what the node knows.
-func (n *Node) Take(now time.Time, from Peer, s *Summary, told uint64) bool {
+// ReceiveSummary handles a summary from another node. It reports whether it is a
+// newer summary of the fleet that the node now uses.
+func (n *Node) ReceiveSummary(now time.Time, from Peer, s *Summary, sequence uint64) bool {
 	if !s.valid() || s.ID == n.config.ID {
 		return false
 	}
-	n.contacts(from.Zone).heard(now, s.ID)
+	n.contacts(from.Zone).received(now, s.ID)
 	switch {
-	case s.Whole:
-		return n.followed(now, s, told)
+	case s.Fleet:
+		return n.receiveFleet(now, s, sequence)
 	case s.Zone == "":
-		// An answer that only says that the relay is there.
+		// This response only shows that the relay is alive.
 		return false
 	}
 	if p := n.parts[s.ID]; p != nil && p.summary.Sequence >= s.Sequence {
 		return false
 	}
-	n.parts[s.ID] = &part{summary: s, at: now, peer: from}
-	n.toFollowers.add(n.seen.fresh(now, s.News))
+	n.parts[s.ID] = &part{summary: s, receivedAt: now, peer: from}
+	n.toFollowers.add(n.seen.filter(now, s.Updates))
 	return false
 }
 
-// followed takes a summary of the fleet from the relay that this node follows, or
-// the first one that answers.
-func (n *Node) followed(now time.Time, s *Summary, told uint64) bool {
-	if !n.contacts(n.config.Zone).talks(s.ID) || (n.serving != 0 && s.ID != n.serving) ||
-		(n.whole != nil && n.whole.ID == s.ID && n.whole.Sequence >= s.Sequence) {
+// receiveFleet handles a summary of the fleet from the relay that this node
+// follows, or from the first one that responds.
+func (n *Node) receiveFleet(now time.Time, s *Summary, sequence uint64) bool {
+	if !n.contacts(n.config.Zone).has(s.ID) || (n.following != 0 && s.ID != n.following) ||
+		(n.fleet != nil && n.fleet.ID == s.ID && n.fleet.Sequence >= s.Sequence) {
 		return false
 	}
-	n.serving = s.ID
-	n.take(now, s, told)
+	n.following = s.ID
+	n.setFleet(now, s, sequence)
 	return true
 }
 
-func (n *Node) take(now time.Time, s *Summary, told uint64) {
-	n.whole, n.wholeAt, n.told = s, now, told
+func (n *Node) setFleet(now time.Time, s *Summary, sequence uint64) {
+	n.fleet, n.fleetAt, n.ownSequence = s, now, sequence
 }
 
-// learn takes news of the node's own zone.
-func (n *Node) learn(now time.Time, news News) {
-	fresh := n.seen.fresh(now, news)
+// addUpdates queues new updates of the node's own zone.
+func (n *Node) addUpdates(now time.Time, updates Updates) {
+	fresh := n.seen.filter(now, updates)
 	n.toRelays.add(fresh)
 	n.toFollowers.add(fresh)
 }
 
-// keep remembers the node's own report.
-func (n *Node) keep(own Report) {
-	n.reports = append(n.reports, own)
-	n.reports = n.reports[max(len(n.reports)-reportsKept, 0):]
+// rememberReport keeps the node's own report.
+func (n *Node) rememberReport(own Report) {
+	n.ownReports = append(n.ownReports, own)
+	n.ownReports = n.ownReports[max(len(n.ownReports)-reportsKept, 0):]
 }
 
 func rank(id ID) uint64 { return xxhash.Sum64(IDs(nil).Add(id)) }
 
 func (n *Node) contacts(zone string) *contacts {
-	c := n.zones[zone]
+	c := n.zoneContacts[zone]
 	if c == nil {
 		c = newContacts()
-		n.zones[zone] = c
+		n.zoneContacts[zone] = c
 	}
 	return c
 }
 
-// choose returns the relays to report to, and whether this node is itself one of
-// the first of its zone; it then follows none. Of two that answer half of the
+// chooseRelays returns the relays to report to, and whether this node is itself
+// one of the first of its zone; it then follows none. If two respond, half of the
 // nodes follow each.
-func (n *Node) choose(now time.Time, zone []Peer) ([]Peer, bool) {
+func (n *Node) chooseRelays(now time.Time, zone []Peer) ([]Peer, bool) {
 	c := n.contacts(n.config.Zone)
-	c.sound(now, n.config.ID)
+	c.markAlive(now, n.config.ID)
 	relays := c.choose(now, zone, n.config.ID)
 	own := slices.IndexFunc(relays, func(p Peer) bool { return p.ID == n.config.ID })
 	if own >= 0 {
 		relays = slices.Delete(relays, own, own+1)
 	}
 	if own >= 0 && own < relaysPerZone {
-		n.serving = 0
+		n.following = 0
 		return relays, true
 	}
-	if !c.talks(n.serving) {
-		n.serving = n.follow(now, c, relays)
+	if !c.has(n.following) {
+		n.following = n.chooseFollowed(now, c, relays)
 	}
 	return relays, false
 }
 
-// follow returns the relay to follow of those that the node reports to: one of
-// the first two, if they answer or nothing speaks against them yet; 0 for all.
-func (n *Node) follow(now time.Time, c *contacts, relays []Peer) ID {
+// chooseFollowed returns the relay to follow of those that the node reports to:
+// one of the first two, if it responds or no relay has been skipped yet; 0 for
+// all.
+func (n *Node) chooseFollowed(now time.Time, c *contacts, relays []Peer) ID {
 	first := relays[:min(len(relays), relaysPerZone)]
 	if len(c.skipped) > 0 {
-		first = slices.DeleteFunc(slices.Clone(first), func(p Peer) bool { return !c.answers(now, p.ID) })
+		first = slices.DeleteFunc(slices.Clone(first), func(p Peer) bool { return !c.responds(now, p.ID) })
 	}
 	if len(first) == 0 {
 		return 0
@@ -273,15 +274,15 @@
 	return first[int(n.config.ID)%len(first)].ID
 }
 
-// others returns the relays that are told what this one knows of its zone: those
-// that tell it the same, the others of its zone, and the first of each zone.
-func (n *Node) others(now time.Time, zones map[string][]Peer, own []Peer) []Peer {
+// summaryTargets returns the relays that get this one's summary of its zone:
+// those that send it theirs, the others of its zone, and the first of each zone.
+func (n *Node) summaryTargets(now time.Time, zones map[string][]Peer, own []Peer) []Peer {
 	to := map[ID]Peer{}
 	for _, p := range own {
 		to[p.ID] = p
 	}
 	for id, p := range n.parts {
-		if now.Sub(p.at) < partFor {
+		if now.Sub(p.receivedAt) < partTTL {
 			to[id] = p.peer
 		}
 	}
@@ -296,8 +297,8 @@
 	return sorted(to)
 }
 
-// sorted returns the values by their nodes, so that the same is done each time in
-// the same order: a fault that was seen once can be played again.
+// sorted returns the values in order of their nodes, so that each run does the
+// same in the same order: a failure found once can be reproduced.
 func sorted[T any](of map[ID]T) []T {
 	list := make([]T, 0, len(of))
 	for _, id := range slices.Sorted(maps.Keys(of)) {
@@ -306,24 +307,24 @@
 	return list
 }
 
-// drop forgets followers, parts, losses and news that are long past.
-func (n *Node) drop(now time.Time) {
-	n.seen.forget(now)
+// expire drops outdated followers, parts, losses and seen updates.
+func (n *Node) expire(now time.Time) {
+	n.seen.expire(now)
 	for id, f := range n.followers {
-		if now.Sub(f.heard) > lostAfter {
+		if now.Sub(f.lastSeen) > lostAfter {
 			n.lost[id] = now
 			delete(n.followers, id)
 		}
 	}
 	if len(n.followers) == 0 {
-		n.since = time.Time{}
+		n.relaySince = time.Time{}
 	}
 	for id, p := range n.parts {
-		if now.Sub(p.at) > partFor {
+		if now.Sub(p.receivedAt) > partTTL {
 			delete(n.parts, id)
 		}
 	}
-	for _, lost := range []map[ID]time.Time{n.lost, n.unheard} {
-		maps.DeleteFunc(lost, func(_ ID, at time.Time) bool { return now.Sub(at) > lostFor })
+	for _, lost := range []map[ID]time.Time{n.lost, n.zoneLost} {
+		maps.DeleteFunc(lost, func(_ ID, at time.Time) bool { return now.Sub(at) > repeatLossFor })
 	}
 }
