--- a/internal/balance/tell_test.go
+++ b/internal/balance/announce_test.go
@@ -11,15 +11,17 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// Guards against this failure: in a fleet of two hundred nodes engines read the same parts of
-// prompts again, and nodes fetch parts from engines that never had them.
+// Guards against engines that process the same prompt parts again, and fetches from
+// engines that never had them, in a fleet of two hundred nodes: heartbeats there may
+// be seconds apart, and the others never learn of a placement that is in none of
+// them.
 func TestEachPlacementIsInSomeHeartbeat(t *testing.T) {
 	for _, interval := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 1250 * time.Millisecond, 2600 * time.Millisecond} {
 		t.Run(interval.String(), func(t *testing.T) {
 			b := balance.New(balance.Config{Loads: noPeers{}})
 			list := endpoints(4)
 			start := time.Now()
-			told := map[balance.Placement]int{}
+			sent := map[balance.Placement]int{}
 			last := start
 			const prompts = 40
 			due := start.Add(interval)
@@ -27,7 +29,7 @@
 				now := start.Add(time.Duration(i) * 200 * time.Millisecond)
 				for !due.After(now) {
 					for _, p := range b.Placements(due, last) {
-						told[p]++
+						sent[p]++
 					}
 					last, due = due, due.Add(interval)
 				}
@@ -37,15 +39,16 @@
 				b.Release(now, c.Endpoint.Start(), balance.Served)
 			}
 			for _, p := range b.Placements(due, last) {
-				told[p]++
+				sent[p]++
 			}
-			require.Len(t, told, prompts)
+			require.Len(t, sent, prompts)
 		})
 	}
 }
 
-// Guards against this failure: nodes pass over an endpoint that has long been idle.
-func TestWordThatIsTooOldIsNotTold(t *testing.T) {
+// Guards against nodes that avoid an endpoint which has long been idle, because an
+// old report counts as new at its receivers.
+func TestExpiredReportIsNotSent(t *testing.T) {
 	list := endpoints(1)
 	now := time.Now()
 	one, two := balance.New(balance.Config{Loads: noPeers{}}), balance.New(balance.Config{Loads: noPeers{}})
--- a/internal/balance/rest_test.go
+++ b/internal/balance/backoff_test.go
@@ -11,14 +11,14 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// Guards against requests to an endpoint that wants none for a time, and against one
-// that gets none any more.
-func TestRestOfAnEndpoint(t *testing.T) {
+// Guards against requests to an endpoint during its backoff, and against an endpoint
+// that is never used again after it.
+func TestBackoffOfAnEndpoint(t *testing.T) {
 	const rest = 3 * time.Second
 	now := time.Now()
 	cases := []struct {
 		name string
-		// at is what happens after the endpoint has asked for rest.
+		// at is what happens after the endpoint has asked for the backoff.
 		at   func(b *balance.Balancer, s deployment.Start)
 		ends time.Duration
 	}{
@@ -27,12 +27,12 @@
 			b.Takes(now.Add(time.Second), s)
 			b.Release(now.Add(time.Second), s, balance.Served)
 		}},
-		{name: "a place that comes free", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
+		{name: "a slot that becomes free", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
 			b.Release(now.Add(time.Second), s, balance.Unknown)
 		}},
-		{name: "a shorter wish", ends: rest, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, time.Second) }},
-		{name: "a longer wish", ends: 5 * time.Second, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, 4*time.Second) }},
-		{name: "it is forgotten what was not used", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
+		{name: "a shorter backoff", ends: rest, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, time.Second) }},
+		{name: "a longer backoff", ends: 5 * time.Second, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, 4*time.Second) }},
+		{name: "state of unused endpoints is dropped", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
 			b.Release(now, s, balance.Refused)
 			b.Forget(now.Add(2*time.Second), time.Second)
 		}},
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against all requests that wait coming to an endpoint in the moment in which
-// its rest ends.
-func TestOneRequestTriesAnEndpointAfterItsRest(t *testing.T) {
+// Guards against a burst of all waiting requests at the moment in which an endpoint's
+// backoff ends.
+func TestTrialRequestsAfterABackoff(t *testing.T) {
 	const waiting = 20
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{}})
@@ -98,9 +98,9 @@
 	require.Equal(t, 1, again)
 }
 
-// Guards against an endpoint that gets nothing after its rest for as long as requests
-// from before it run.
-func TestRequestsFromBeforeARestDoNotKeepItClosed(t *testing.T) {
+// Guards against an endpoint that stays blocked after its backoff for as long as
+// requests sent before it run.
+func TestEarlierRequestsDoNotProlongABackoff(t *testing.T) {
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{}})
 	list := endpoints(1)
@@ -110,15 +110,15 @@
 	b.Rest(now, list[0].Start(), time.Second)
 	now = now.Add(time.Second)
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
-	require.Nil(t, b.Choose(now, list, balance.Request{}), "one tries it")
+	require.Nil(t, b.Choose(now, list, balance.Request{}), "one trial request")
 	now = now.Add(time.Second)
-	require.NotNil(t, b.Choose(now, list, balance.Request{}), "another one, if the first is silent")
+	require.NotNil(t, b.Choose(now, list, balance.Request{}), "another trial request if the first is not answered")
 	b.Takes(now, list[0].Start())
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
 }
 
-// Guards against a rest that outlives the process that asked for it.
-func TestRestEndsWithTheStart(t *testing.T) {
+// Guards against a backoff that outlives the process that asked for it.
+func TestBackoffEndsWithTheStart(t *testing.T) {
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{}})
 	list := endpoints(1)
@@ -128,8 +128,9 @@
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
 }
 
-// Guards against a prompt that waits for an engine which keeps it and rests.
-func TestNoPromptWaitsForARestingEngine(t *testing.T) {
+// Guards against a prompt that waits for an engine in backoff because that engine
+// holds it.
+func TestNoPromptWaitsForAnEngineInBackoff(t *testing.T) {
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{"e0": 3, "e1": 3}})
 	list := endpoints(2)
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -1,5 +1,5 @@
-// Package balance chooses the endpoint that runs a request: one that keeps the
-// most of its prompt in memory, among those that are sound and not overloaded.
+// Package balance chooses the endpoint that runs a request: the one that holds most
+// of the prompt in memory, among those that are healthy and not overloaded.
 package balance
 
 import (
@@ -15,164 +15,173 @@
 )
 
 const (
-	// defaultCap is the greatest multiple of the mean load that an endpoint may
-	// have, plus three, where nothing says so.
-	defaultCap = 2.0
-	// capShare is the part of that multiple up to which endpoints are chosen,
-	// and boundSlack the same of the three requests: what peers have sent in the
-	// last tenth of a second is not known yet.
-	capShare   = 0.85
+	// defaultLoadFactor is the default of Config.Cap: an endpoint may have that
+	// multiple of the mean load plus three requests.
+	defaultLoadFactor = 2.0
+	// boundShare and boundSlack are the parts of that multiple and of the three
+	// requests up to which endpoints are chosen. The rest allows for what peers have
+	// sent in the last 100 ms, which is not known yet.
+	boundShare = 0.85
 	boundSlack = 2.2
-	// stayRatio and staySlack bound the load up to which an endpoint that keeps
-	// a prompt's part goes before the first of the part's order.
-	stayRatio = 1.0
-	staySlack = 1.0
-	// plainDepth is how many requests an endpoint of a plain service may have,
-	// as a multiple of its slots: one runs, three wait. With fewer, nodes that
-	// see the same endpoint below the bound at the same time refuse more than
-	// they spare.
+	// affinityRatio and affinitySlack bound the load up to which an endpoint that
+	// holds a prompt's part is preferred to the first one in the part's rendezvous
+	// order.
+	affinityRatio = 1.0
+	affinitySlack = 1.0
+	// plainDepth is how many requests an endpoint of a plain service may have, as a
+	// multiple of its slots: one runs, three wait. With fewer, nodes that see the
+	// same endpoint below the bound at the same time cause more refusals than the
+	// limit avoids.
 	plainDepth = 4.0
-	// modelDepth is the same for model engines: requests wait at the node, where
-	// they take the first place that comes free anywhere.
+	// modelDepth is the same for model engines: requests wait at the node instead,
+	// where they take the first slot that becomes free on any engine.
 	modelDepth = 1.0
-	// fullPause is how long an endpoint that refused a request as full gets
-	// nothing.
-	fullPause = 150 * time.Millisecond
-	// busyPause is the same for one that refused a reservation: places come free
-	// all the time at engines, and asking costs little.
-	busyPause = 100 * time.Millisecond
-	// scarceShare is the part of an engine's slots from which it may be full
-	// without this node's knowing.
-	scarceShare = 0.6
-	// remoteCost is what another availability zone costs a plain request, in
-	// parts of an endpoint's slots: bytes between zones are paid for.
-	remoteCost = 0.2
-	// askedForgotten is how few requests for a service, over failureMemory, count
-	// as none.
-	askedForgotten = 0.01
+	// refusedBackoff is how long an endpoint that refused a request as full is not
+	// sent another.
+	refusedBackoff = 150 * time.Millisecond
+	// reservationBackoff is the same for an endpoint that refused a reservation:
+	// engines free slots all the time, and a reservation request is cheap.
+	reservationBackoff = 100 * time.Millisecond
+	// nearlyFullShare is the fraction of an engine's slots in use from which it may
+	// be full without this node knowing.
+	nearlyFullShare = 0.6
+	// crossZoneCost is the penalty for sending a plain request to another
+	// availability zone, as a fraction of the endpoint's slots: traffic between zones
+	// is billed.
+	crossZoneCost = 0.2
+	// negligibleRequests is the number of requests for a service, over failureMemory,
+	// below which its count is dropped.
+	negligibleRequests = 0.01
 )
 
 type (
-	// Loads tells what the other nodes have sent.
+	// Loads is what the other nodes have reported.
 	Loads interface {
-		// Others returns the requests in progress at an endpoint that other
-		// nodes have sent, by the Key of its Start.
+		// Others returns the number of requests that other nodes have in progress at
+		// an endpoint, given by the Key of its Start.
 		Others(key uint32) int
-		// OthersReading returns the prompt tokens that it is still to read for
-		// them.
+		// OthersReading returns the prompt tokens that the endpoint still has to
+		// process for them.
 		OthersReading(key uint32) int
-		// OthersFailures returns the attempts of other nodes that it has failed
-		// lately.
+		// OthersFailures returns the number of other nodes' attempts that failed at
+		// the endpoint recently.
 		OthersFailures(key uint32) int
-		// Age returns how old these counts are, on the mean over the nodes.
+		// Age returns the mean age of these counts over the nodes.
 		Age(now time.Time) time.Duration
 	}
 
-	// Config is the settings of a Balancer.
+	// Config is the configuration of a Balancer.
 	Config struct {
 		Loads Loads
 		// Zone is the node's own availability zone.
 		Zone string
-		// Cap is the greatest multiple of its service's mean load that an
-		// endpoint may have; 0 for twice.
+		// Cap is the greatest multiple of its service's mean load that an endpoint
+		// may have; 0 means 2.
 		Cap float64
-		// Nodes returns how many nodes there are, those too that were not heard
-		// lately; nil if this is the only one.
+		// Nodes returns the number of nodes, including those that are unreachable;
+		// nil means that this is the only one.
 		Nodes func() int
-		// Draw draws evenly from 0 up to 1; nil for at random.
+		// Draw returns uniformly distributed numbers in [0, 1); nil means math/rand.
 		Draw func() float64
 	}
 
 	// Balancer chooses endpoints. It is safe for concurrent use.
 	Balancer struct {
-		config Config
-		mu     sync.Mutex
-		own    map[deployment.Start]*own
-		held   *holders
-		// reports are the endpoints' own words on their load.
+		config    Config
+		mu        sync.Mutex
+		endpoints map[deployment.Start]*endpointState
+		holders   *holders
+		// reports are the loads that the endpoints have reported themselves.
 		reports *reports
-		// perToken is how long engines take to read a token, 0 until one has read
-		// a prompt.
-		perToken time.Duration
-		// asked are the requests for each service, over failureMemory.
-		asked map[string]*rates.Decayed
-		// began is when the node started.
-		began time.Time
+		// prefillPerToken is the time in which engines process a prompt token; 0
+		// until the first measurement.
+		prefillPerToken time.Duration
+		// requests counts the requests for each service, over failureMemory.
+		requests map[string]*rates.Decayed
+		// started is when the node started.
+		started time.Time
 	}
 
-	// Request is what a choice depends on.
+	// Request describes the request that an endpoint is chosen for.
 	Request struct {
 		Service deployment.Service
-		// Key names the part of the prompt by which requests share memory;
-		// empty if there is none.
+		// Key names the prompt part that requests share in an engine's memory; empty
+		// if there is none.
 		Key string
-		// Tried are the endpoints that have had this request.
+		// Tried are the endpoints that this request was sent to before.
 		Tried []deployment.Start
-		// Again says that one of them may have it once more if no other has
-		// room: it has answered, and may do better the second time.
+		// Again allows one of Tried if no other endpoint has room: it has answered,
+		// and a second answer may be better.
 		Again bool
-		// Repeats says that it may run more than once.
+		// Repeats reports whether the request may run more than once.
 		Repeats bool
-		// Stay says that the request waits for an engine that keeps its prompt
-		// rather than go to one of the last places elsewhere.
+		// Stay makes the request wait for an engine that holds its prompt rather than
+		// take one of the last slots of another engine.
 		Stay bool
-		// Objective is when the answer should begin; 0 if nobody says.
+		// Objective is the time within which the answer should begin; 0 if there is
+		// none.
 		Objective time.Duration
-		// Prompt is the size of what an engine may have to read.
+		// Prompt is the size of the prompt that an engine may have to process.
 		Prompt Prompt
 	}
 
-	// Choice is the endpoint chosen and what decided it.
+	// Choice is the chosen endpoint and the reasons for the choice.
 	Choice struct {
 		Endpoint *deployment.Endpoint
-		// First is the endpoint that comes first for the request's key.
+		// First is the endpoint that comes first in the rendezvous order of the
+		// request's key.
 		First *deployment.Endpoint
-		// Source is an endpoint that is believed to keep what the chosen one
-		// lacks of the prompt, nil if there is none.
+		// Source is an endpoint that probably holds the part of the prompt that the
+		// chosen one lacks; nil if there is none.
 		Source *deployment.Endpoint
-		// Load is the chosen endpoint's load before, and Mean its service's.
+		// Load is the load of the chosen endpoint before this request, Mean the mean
+		// load of its service.
 		Load int
 		Mean float64
-		// Age is how old the other nodes' part of the loads was.
+		// Age is the age of the other nodes' part of the loads.
 		Age time.Duration
-		// Ready is how many endpoints could be chosen from.
+		// Ready is the number of endpoints to choose from.
 		Ready int
-		// Scarce says that the endpoint may be full by now, though that is not
-		// known: other nodes have sent it something since they last told.
+		// Scarce reports whether the endpoint may be full by now without this node
+		// knowing: other nodes may have sent it requests since their last report.
 		Scarce bool
-		// Cold says that the endpoint bears only few requests now, and may be slow.
+		// Cold reports whether the endpoint sustains only a low request rate at
+		// present and may be slow.
 		Cold bool
 
-		// Reading is how long the engine is likely to read before the answer
-		// begins, with what it has to read for others first.
+		// Reading is the expected time until the engine has processed the prompt,
+		// including those of other requests that come first.
 		Reading time.Duration
 
 		placement Placement
-		// tokens are what the engine is to read for the request, and backlog what
-		// it had to read before.
-		tokens, backlog int
+		// prefill is the number of tokens that the engine has to process for the
+		// request, backlog the number that it had to process before.
+		prefill, backlog int
 	}
 
-	// own is what this node knows of an endpoint.
-	own struct {
-		// key is that of the endpoint's Start.
+	// endpointState is what this node knows of an endpoint.
+	endpointState struct {
+		// key is the Key of the endpoint's Start.
 		key    uint32
 		active int
-		// reading are the tokens that it is to read for this node's requests.
-		reading int
-		health  health
-		rest    rest
-		seen    time.Time
-		// failed are the attempts that it has failed, over failureMemory.
-		failed rates.Decayed
-		// margin is for how much longer than it says it is left alone while cold.
-		margin time.Duration
-		// turned is when a turn at the endpoint was last looked for.
-		turned time.Time
+		// prefill is the number of tokens that it still has to process for this
+		// node's requests.
+		prefill  int
+		health   health
+		backoff  backoff
+		lastUsed time.Time
+		// failures counts the attempts that failed at the endpoint, over
+		// failureMemory.
+		failures rates.Decayed
+		// warmupMargin is how long the endpoint still counts as cold after the end
+		// that it announced.
+		warmupMargin time.Duration
+		// lastDraw is when admitCold was last called for the endpoint.
+		lastDraw time.Time
 	}
 )
 
-// New returns a Balancer that knows no endpoint yet.
+// New returns a Balancer without any state of endpoints.
 func New(c Config) *Balancer {
 	if c.Draw == nil {
 		c.Draw = rand.Float64
@@ -180,86 +189,87 @@
 	if c.Nodes == nil {
 		c.Nodes = func() int { return 1 }
 	}
-	return &Balancer{config: c, own: map[deployment.Start]*own{}, held: newHolders(), reports: newReports(), asked: map[string]*rates.Decayed{}, began: time.Now()}
+	return &Balancer{config: c, endpoints: map[deployment.Start]*endpointState{}, holders: newHolders(), reports: newReports(), requests: map[string]*rates.Decayed{}, started: time.Now()}
 }
 
-// Choose chooses an endpoint and counts the request there until Release. It
-// returns nil where no endpoint has room.
+// Choose chooses an endpoint and counts the request there until Release. It returns
+// nil if no endpoint has room.
 func (b *Balancer) Choose(now time.Time, list []*deployment.Endpoint, r Request) *Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all, mean := b.candidates(now, list, r)
-	c := b.pickWarm(all, mean, r, now)
+	c := b.pickWarmFirst(all, mean, r, now)
 	if c == nil && r.Again {
 		r.Tried = nil
 		all, mean = b.candidates(now, list, r)
-		c = b.pickWarm(all, mean, r, now)
+		c = b.pickWarmFirst(all, mean, r, now)
 	}
 	if c == nil {
 		return nil
 	}
-	o := b.own[c.endpoint.Start()]
+	o := b.endpoints[c.endpoint.Start()]
 	o.active++
-	o.rest.tried = now
+	o.backoff.lastSent = now
 	choice := &Choice{Endpoint: c.endpoint, Load: c.load, Mean: mean.usable, Ready: len(all), Cold: c.cold, Age: b.config.Loads.Age(now)}
 	if r.Key != "" {
 		part := xxhash.Sum64String(r.Key)
 		choice.First = first(part, list, nil)
-		choice.Source = b.held.source(part, c, list, now)
-		choice.Scarce = c.scarce()
+		choice.Source = b.holders.source(part, c, list, now)
+		choice.Scarce = c.nearlyFull()
 		choice.placement = Placement{Part: part, Endpoint: c.key}
-		b.estimate(choice, c, r)
+		b.estimatePrefill(choice, c, r)
 	}
 	return choice
 }
 
-// ask counts a request that goes to a service.
-func (b *Balancer) ask(now time.Time, service string) {
-	if b.asked[service] == nil {
-		b.asked[service] = &rates.Decayed{Memory: failureMemory}
+// countRequest counts a request that is sent to a service.
+func (b *Balancer) countRequest(now time.Time, service string) {
+	if b.requests[service] == nil {
+		b.requests[service] = &rates.Decayed{Memory: failureMemory}
 	}
-	b.asked[service].Add(now)
+	b.requests[service].Add(now)
 }
 
-// Sent notes that the request goes to the chosen endpoint, which then keeps its
-// prompt.
+// Sent records that the request is sent to the chosen endpoint, which holds its
+// prompt from then on.
 func (b *Balancer) Sent(now time.Time, c *Choice) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ask(now, c.Endpoint.Service)
+	b.countRequest(now, c.Endpoint.Service)
 	if c.placement == (Placement{}) {
 		return
 	}
-	b.held.note(c.placement, now)
-	b.get(c.Endpoint.Start(), now).reading += c.tokens
+	b.holders.record(c.placement, now)
+	b.state(c.Endpoint.Start(), now).prefill += c.prefill
 }
 
-// Release ends the count of a request at an endpoint, with its outcome.
+// Release removes a request from an endpoint's count and records its outcome.
 func (b *Balancer) Release(now time.Time, s deployment.Start, o Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.get(s, now)
+	e := b.state(s, now)
 	e.active--
 	if o != Full {
-		// The place that the request had is free now.
-		e.health.busy = time.Time{}
+		// The slot of this request is free now.
+		e.health.noPlaceUntil = time.Time{}
 	}
-	e.health.note(o, now)
+	e.health.record(o, now)
 	e.noteFailure(now, o)
 }
 
-// Active returns this node's requests in progress by the Keys of the endpoints' Starts.
+// Active returns the number of this node's requests in progress, by the Key of the
+// endpoint's Start.
 func (b *Balancer) Active() map[uint32]int {
-	return b.counts(func(o *own) int { return o.active })
+	return b.counts(func(o *endpointState) int { return o.active })
 }
 
-// counts returns one of the counts that this node keeps, by the Keys of the starts,
-// where it is not 0.
-func (b *Balancer) counts(of func(o *own) int) map[uint32]int {
+// counts returns a count of this node's for each endpoint, by the Key of its Start,
+// without those that are 0.
+func (b *Balancer) counts(of func(o *endpointState) int) map[uint32]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := make(map[uint32]int)
-	for _, o := range b.own {
+	for _, o := range b.endpoints {
 		if n := of(o); n > 0 {
 			counts[o.key] = n
 		}
@@ -267,42 +277,42 @@
 	return counts
 }
 
-// Placements returns this node's new placements since a time, for the other
-// nodes, and those of the last moments anyhow. Older ones are forgotten.
+// Placements returns the placements of this node to send to the others: those since a
+// time, and the latest in any case. Older ones are dropped.
 func (b *Balancer) Placements(now, since time.Time) []Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held.recent(now, since)
+	return b.holders.announcements(now, since)
 }
 
-// Placed takes placements of another node.
+// Placed adds placements received from another node.
 func (b *Balancer) Placed(now time.Time, list []Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range list {
-		b.held.put(p, holder{endpoint: p.Endpoint, at: now, told: now})
+		b.holders.put(p, holder{endpoint: p.Endpoint, at: now, announced: now})
 	}
 }
 
-// Forget drops what is known of endpoints that were not used for a time.
+// Forget drops the state of endpoints that have not been used for a time.
 func (b *Balancer) Forget(now time.Time, after time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports.forget(now)
-	maps.DeleteFunc(b.asked, func(_ string, asked *rates.Decayed) bool { return asked.Get(now) < askedForgotten })
-	for s, o := range b.own {
-		if o.active == 0 && now.Sub(o.seen) > after && !o.rest.lasts(now) {
-			delete(b.own, s)
+	maps.DeleteFunc(b.requests, func(_ string, count *rates.Decayed) bool { return count.Get(now) < negligibleRequests })
+	for s, o := range b.endpoints {
+		if o.active == 0 && now.Sub(o.lastUsed) > after && !o.backoff.active(now) {
+			delete(b.endpoints, s)
 		}
 	}
 }
 
-func (b *Balancer) get(s deployment.Start, now time.Time) *own {
-	o := b.own[s]
+func (b *Balancer) state(s deployment.Start, now time.Time) *endpointState {
+	o := b.endpoints[s]
 	if o == nil {
-		o = &own{key: s.Key(), margin: b.drawMargin(), failed: rates.Decayed{Memory: failureMemory}}
-		b.own[s] = o
+		o = &endpointState{key: s.Key(), warmupMargin: b.drawWarmupMargin(), failures: rates.Decayed{Memory: failureMemory}}
+		b.endpoints[s] = o
 	}
-	o.seen = now
+	o.lastUsed = now
 	return o
 }
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -11,28 +11,28 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// peers are what the other nodes have sent, by endpoint.
+// peers are the requests that the other nodes have in progress, by endpoint ID.
 type peers map[string]int
 
 func (p peers) Others(key uint32) int {
 	for id, n := range p {
-		if named(id).Key() == key {
+		if startOf(id).Key() == key {
 			return n
 		}
 	}
 	return 0
 }
 
-// named is the only start of an endpoint.
-func named(id string) deployment.Start { return deployment.Start{ID: id} }
+// startOf returns the only start of an endpoint.
+func startOf(id string) deployment.Start { return deployment.Start{ID: id} }
 
-// OthersReading implements balance.Loads: nothing is to be read.
+// OthersReading implements balance.Loads: there is nothing to process.
 func (peers) OthersReading(uint32) int { return 0 }
 
 // OthersFailures implements balance.Loads: nothing has failed.
 func (peers) OthersFailures(uint32) int { return 0 }
 
-// Age implements balance.Loads: all is new.
+// Age implements balance.Loads: all counts are new.
 func (peers) Age(time.Time) time.Duration { return 0 }
 
 func endpoints(n int) []*deployment.Endpoint {
@@ -67,7 +67,8 @@
 	}
 }
 
-// Guards against this failure: one engine holds far more than the others.
+// Guards against a single engine with far more requests than the others, when many
+// share one prompt.
 func TestHotPromptStaysUnderTheBound(t *testing.T) {
 	list := endpoints(4)
 	b := balance.New(balance.Config{Loads: peers{}})
@@ -83,7 +84,8 @@
 	require.GreaterOrEqual(t, len(counts), 3)
 }
 
-// Guards against this failure: shared parts of prompts are read again.
+// Guards against engines that process shared prompt parts again instead of fetching
+// them.
 func TestSourceOfAPromptThatMoves(t *testing.T) {
 	list := endpoints(3)
 	now := time.Now()
@@ -98,13 +100,13 @@
 	require.NotEqual(t, first.Endpoint, moved.Endpoint)
 	require.Equal(t, first.Endpoint, moved.Source)
 
-	told := balance.New(balance.Config{Loads: peers{}})
-	told.Placed(now, b.Placements(now, now))
-	elsewhere := told.Choose(now, list, balance.Request{Key: "doc", Tried: []deployment.Start{moved.Endpoint.Start()}})
+	receiver := balance.New(balance.Config{Loads: peers{}})
+	receiver.Placed(now, b.Placements(now, now))
+	elsewhere := receiver.Choose(now, list, balance.Request{Key: "doc", Tried: []deployment.Start{moved.Endpoint.Start()}})
 	require.Equal(t, moved.Endpoint, elsewhere.Source)
 }
 
-// Guards against this failure: endpoints refuse requests by turns while others are free.
+// Guards against endpoints that refuse requests in turn while others are idle.
 func TestPlainRequestsAvoidTheMostLoadedAndSpread(t *testing.T) {
 	list := endpoints(3)
 	now := time.Now()
@@ -120,7 +122,7 @@
 	require.Greater(t, counts["e2"], 150)
 }
 
-func TestEndpointsThatGetNothing(t *testing.T) {
+func TestOutcomesThatBlockAnEndpoint(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name    string
@@ -129,12 +131,12 @@
 		after   time.Duration
 		chosen  bool
 	}{
-		{name: "one that could not be reached, for a while", outcome: balance.Unreachable, times: 1},
-		{name: "which then is tried again", outcome: balance.Unreachable, times: 1, after: time.Second, chosen: true},
-		{name: "one whose address another has", outcome: balance.Gone, times: 1, after: time.Hour},
-		{name: "one that was full just now", outcome: balance.Refused, times: 1},
-		{name: "but not for long", outcome: balance.Refused, times: 1, after: time.Second, chosen: true},
-		{name: "a single failure says little", outcome: balance.Failed, times: 1, chosen: true},
+		{name: "unreachable, within the backoff", outcome: balance.Unreachable, times: 1},
+		{name: "unreachable, after the backoff", outcome: balance.Unreachable, times: 1, after: time.Second, chosen: true},
+		{name: "address taken over by another endpoint", outcome: balance.Gone, times: 1, after: time.Hour},
+		{name: "refused a request just now", outcome: balance.Refused, times: 1},
+		{name: "refused a request a second ago", outcome: balance.Refused, times: 1, after: time.Second, chosen: true},
+		{name: "a single failure", outcome: balance.Failed, times: 1, chosen: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -142,15 +144,15 @@
 			b := balance.New(balance.Config{Loads: peers{}})
 			for range c.times {
 				require.NotNil(t, b.Choose(now, list, balance.Request{}))
-				b.Release(now, named("e0"), c.outcome)
+				b.Release(now, startOf("e0"), c.outcome)
 			}
 			require.Equal(t, c.chosen, b.Choose(now.Add(c.after), list, balance.Request{}) != nil)
 		})
 	}
 }
 
-// Guards against this failure: a third of all requests fail though two sound endpoints are
-// there.
+// Guards against an endpoint that fails a third of all requests though two healthy
+// ones exist.
 func TestEndpointThatFailsMoreThanOthersIsAvoided(t *testing.T) {
 	list := endpoints(3)
 	b := balance.New(balance.Config{Loads: peers{}})
@@ -172,8 +174,8 @@
 	require.Greater(t, counts["e0"], 100)
 }
 
-// Where every endpoint fails a part of its requests, none is avoided for it.
-func TestFailuresThatAllShareAvoidNobody(t *testing.T) {
+// If every endpoint fails part of its requests, none is avoided for it.
+func TestFailuresCommonToAllEndpointsBlockNone(t *testing.T) {
 	list := endpoints(2)
 	b := balance.New(balance.Config{Loads: peers{}})
 	now := time.Now()
@@ -192,8 +194,8 @@
 	require.Greater(t, counts["e1"], 100)
 }
 
-// Guards against this failure: a service has fewer endpoints than it seems, and the others
-// carry more.
+// Guards against an endpoint that is never used again after it recovers, so that the
+// others carry more load.
 func TestEndpointThatFailedIsTriedAgain(t *testing.T) {
 	list := endpoints(3)
 	b := balance.New(balance.Config{Loads: peers{}})
@@ -214,27 +216,26 @@
 	require.Greater(t, counts["e1"], 300)
 }
 
-// Guards against this failure: endpoints refuse requests as full that are believed to have
-// little to do.
-func TestEndpointsOwnWordCountsForAWhile(t *testing.T) {
+// Guards against requests to endpoints that refuse them as full though this node
+// knows of few requests there.
+func TestReportedLoadCountsUntilItExpires(t *testing.T) {
 	list := endpoints(2)
 	now := time.Now()
 	one, two := balance.New(balance.Config{Loads: peers{}}), balance.New(balance.Config{Loads: peers{}})
-	one.Reported(now, named("e0"), 30)
+	one.Reported(now, startOf("e0"), 30)
 	two.ReportsHeard(now, one.Reports(now, now.Add(-time.Second)))
 	for _, b := range []*balance.Balancer{one, two} {
 		for range 20 {
 			c := b.Choose(now, list, balance.Request{})
 			require.Equal(t, "e1", c.Endpoint.ID)
-			b.Release(now, named("e1"), balance.Served)
+			b.Release(now, startOf("e1"), balance.Served)
 		}
 		require.InDelta(t, 30.0/8, b.Busy(now, list[0], deployment.Service{}), 0.01)
-		// It may be older than it seems: it chooses between endpoints, and
-		// closes none.
-		b.Reported(now, named("e1"), 40)
+		// The report may be older than it seems: it ranks endpoints, and blocks none.
+		b.Reported(now, startOf("e1"), 40)
 		c := b.Choose(now, list, balance.Request{})
 		require.Equal(t, "e0", c.Endpoint.ID)
-		b.Release(now, named("e0"), balance.Served)
+		b.Release(now, startOf("e0"), balance.Served)
 		later := now.Add(time.Second)
 		require.Zero(t, b.Busy(later, list[0], deployment.Service{}))
 		counts := map[string]int{}
@@ -248,7 +249,7 @@
 	require.Empty(t, one.Reports(now, now))
 }
 
-// A choice costs each request a pass over its service's endpoints.
+// BenchmarkChoose measures a choice, which visits all endpoints of the service.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 90, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -263,7 +264,7 @@
 	}
 }
 
-// noPeers have sent nothing.
+// noPeers are other nodes that have sent nothing.
 type noPeers struct{}
 
 func (noPeers) Others(uint32) int { return 0 }
@@ -273,24 +274,24 @@
 // OthersFailures implements balance.Loads: nothing has failed.
 func (noPeers) OthersFailures(uint32) int { return 0 }
 
-// Age implements balance.Loads: all is new.
+// Age implements balance.Loads: all counts are new.
 func (noPeers) Age(time.Time) time.Duration { return 0 }
 
-// Guards against this failure: prompts are moved with nearly each request, and links fill with
+// Guards against prompts that move with nearly every request, so that links fill with
 // copies.
-func TestPromptStaysWhereLastPlacesAreElsewhere(t *testing.T) {
+func TestPromptWaitsRatherThanTakeALastSlotElsewhere(t *testing.T) {
 	now := time.Now()
 	list := endpoints(2)
 	cases := []struct {
 		name string
-		// other is the load of the engine that does not keep the prompt.
+		// other is the load of the engine that does not hold the prompt.
 		other int
 		stay  bool
 		want  string
 	}{
-		{name: "it waits while the other has only its last places", other: 7, stay: true},
-		{name: "it moves once it has waited", other: 7, want: "e1"},
-		{name: "it moves at once where there is room", other: 3, stay: true, want: "e1"},
+		{name: "waits while the other engine has only its last slots", other: 7, stay: true},
+		{name: "moves once it has waited", other: 7, want: "e1"},
+		{name: "moves at once if there is room", other: 3, stay: true, want: "e1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -308,8 +309,8 @@
 	}
 }
 
-// Guards against this failure: an engine stays empty though requests wait.
-func TestPlaceOfAnEndedRequestIsFreeAtOnce(t *testing.T) {
+// Guards against an engine that stays idle while requests wait.
+func TestSlotOfAnEndedRequestIsFreeAtOnce(t *testing.T) {
 	now := time.Now()
 	list := endpoints(1)
 	b := balance.New(balance.Config{Loads: peers{"e0": 6}})
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// coldShare is the part of what a cold endpoint bears that all nodes together
-	// send it on the mean: the number in any one second varies by chance, and
-	// nodes that do not know yet that it is cold send as well.
+	// coldShare is the fraction of a cold endpoint's capacity that all nodes together
+	// use on average: the number of requests in any one second varies randomly, and
+	// nodes that do not know yet that the endpoint is cold send to it as well.
 	coldShare = 0.5
-	// turnFor is for how long a turn at a cold endpoint may be taken. Turns that
-	// are kept for longer could all be taken in the same second.
-	turnFor = 200 * time.Millisecond
-	// settling is how long after its start a node may not know of all others, and
-	// largestFleet for how many nodes the fleet is taken meanwhile.
-	settling     = 2 * time.Second
-	largestFleet = 330
-	// coldMargin is for how much longer than it says an endpoint is left alone at
-	// least, and coldSpread over which time beyond that the nodes come back to it.
-	coldMargin = 250 * time.Millisecond
-	coldSpread = 500 * time.Millisecond
+	// maxDrawInterval bounds the time since the last draw that counts in a draw.
+	// Credit that is saved for longer could be spent by all nodes in the same second.
+	maxDrawInterval = 200 * time.Millisecond
+	// discoveryPeriod is how long after its start a node may not know all others, and
+	// largestFleet the fleet size that it assumes meanwhile.
+	discoveryPeriod = 2 * time.Second
+	largestFleet    = 330
+	// minWarmupMargin is how long an endpoint counts as cold, at least, after the end
+	// that it announced; warmupSpread is the time after that over which the nodes
+	// return to it.
+	minWarmupMargin = 250 * time.Millisecond
+	warmupSpread    = 500 * time.Millisecond
 )
 
-// pickWarm picks an endpoint, a cold one only where no warm one has room below the
+// pickWarmFirst picks an endpoint, a cold one only if no warm one has room below the
 // bound.
 //
-// A cold endpoint bears few requests a second and crashes well above that; all
-// nodes see it come back empty at the same moment, and hear of each other's
-// requests too late.
-func (b *Balancer) pickWarm(all []candidate, m means, r Request, now time.Time) *candidate {
+// A cold endpoint sustains a few requests a second and crashes well above that. All
+// nodes see it become free at the same moment, and learn of each other's requests too
+// late.
+func (b *Balancer) pickWarmFirst(all []candidate, m means, r Request, now time.Time) *candidate {
 	if !slices.ContainsFunc(all, func(c candidate) bool { return c.cold }) {
 		return b.pick(all, m, r)
 	}
@@ -46,15 +47,15 @@
 	return c
 }
 
-// pickCold takes a cold endpoint at which this node has a turn, one that keeps the
-// prompt's part if there is one. The others are looked at from anywhere on, so that
+// pickCold returns a cold endpoint to which admitCold lets this node send, preferably
+// one that holds the prompt's part. The search starts at a random candidate, so that
 // not all nodes begin with the same one.
 func (b *Balancer) pickCold(all []candidate, r Request, now time.Time) *candidate {
-	from := int(b.config.Draw() * float64(len(all)))
+	offset := int(b.config.Draw() * float64(len(all)))
 	var found *candidate
 	for i := range all {
-		c := &all[(from+i)%len(all)]
-		if !c.cold || c.closed || c.suspect || found != nil && !c.holds || !b.turn(c, r, now) {
+		c := &all[(offset+i)%len(all)]
+		if !c.cold || c.blocked || c.suspect || found != nil && !c.holds || !b.admitCold(c, r, now) {
 			continue
 		}
 		if c.holds {
@@ -65,18 +66,18 @@
 	return found
 }
 
-// cold reports whether an endpoint bears only few requests now.
+// cold reports whether an endpoint sustains only a low request rate at present.
 //
-// All nodes know to the millisecond when it is warm again. All of them would come
-// back in the same tenth of a second, and before its time if its clock is a
-// little behind.
-func (b *Balancer) cold(e *deployment.Endpoint, o *own, s deployment.Service, now time.Time) bool {
-	return s.ColdRate > 0 && e.IsCold(now.Add(-o.margin))
+// It includes the margin: all nodes know to the millisecond when the endpoint is
+// warm. Without a margin all would return within the same 100 ms, and too early if
+// the endpoint's clock is a little behind.
+func (b *Balancer) cold(e *deployment.Endpoint, o *endpointState, s deployment.Service, now time.Time) bool {
+	return s.ColdRate > 0 && e.IsCold(now.Add(-o.warmupMargin))
 }
 
-// drawMargin draws for how much longer than it says a cold endpoint is left alone.
-func (b *Balancer) drawMargin() time.Duration {
-	return coldMargin + time.Duration(b.config.Draw()*float64(coldSpread))
+// drawWarmupMargin returns a random margin after the announced end of a cold period.
+func (b *Balancer) drawWarmupMargin() time.Duration {
+	return minWarmupMargin + time.Duration(b.config.Draw()*float64(warmupSpread))
 }
 
 // warm returns the candidates that are not cold.
@@ -90,23 +91,23 @@
 	return list
 }
 
-// turn reports whether this node has a turn at a cold endpoint, and takes it.
+// admitCold reports whether this node may send a request to a cold endpoint now.
 //
-// Turns come to each node by chance, as often as keeps the sum over the fleet at
-// a part of what the endpoint bears, however many requests there are: so the
-// nodes need not hear of each other, and those that are cut off from the rest
-// count in the sum all the same.
-func (b *Balancer) turn(c *candidate, r Request, now time.Time) bool {
-	o := b.own[c.endpoint.Start()]
-	since := min(now.Sub(o.turned), turnFor)
-	o.turned = now
-	rate := coldShare * r.Service.ColdRate / float64(b.fleet(now))
+// It decides at random: each node's admissions form a Poisson process whose rate
+// keeps the sum over the fleet at a fraction of the endpoint's capacity, however many
+// requests there are. Nodes therefore need not hear from each other, and nodes that
+// are partitioned from the rest count in the sum too.
+func (b *Balancer) admitCold(c *candidate, r Request, now time.Time) bool {
+	o := b.endpoints[c.endpoint.Start()]
+	since := min(now.Sub(o.lastDraw), maxDrawInterval)
+	o.lastDraw = now
+	rate := coldShare * r.Service.ColdRate / float64(b.fleetSize(now))
 	return b.config.Draw() >= math.Exp(-rate*since.Seconds())
 }
 
-// fleet is how many nodes may send to an endpoint.
-func (b *Balancer) fleet(now time.Time) int {
-	if now.Sub(b.began) < settling {
+// fleetSize is the number of nodes that may send to an endpoint.
+func (b *Balancer) fleetSize(now time.Time) int {
+	if now.Sub(b.started) < discoveryPeriod {
 		return max(b.config.Nodes(), largestFleet)
 	}
 	return max(b.config.Nodes(), 1)
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// coldRate is what a cold engine bears a second, and coldBound the most that
-	// it is to get in any one: one and a half times that, and five.
+	// coldRate is the number of requests a second that a cold engine sustains,
+	// coldBound the most that it may be sent in any second: one and a half times
+	// that, and five.
 	coldRate  = 18.0
 	coldBound = 32
 )
 
-// engines is the service of the tests of cold engines.
+// engines returns the service for the tests of cold engines.
 func engines() deployment.Service {
 	return deployment.Service{Name: "s", Model: true, Slots: 8, Cold: 3 * time.Second, ColdRate: coldRate}
 }
 
-// coldFleet is the nodes of a fleet, which see the same endpoints.
+// coldFleet is a fleet whose nodes see the same endpoints.
 type coldFleet struct {
 	nodes []*balance.Balancer
 	list  []*deployment.Endpoint
@@ -48,8 +49,8 @@
 	return f
 }
 
-// ask lets one request come to a node, and reports whether it is sent.
-func (f *coldFleet) ask(node int, key string) bool {
+// send passes one request to a node, and reports whether the node sends it on.
+func (f *coldFleet) send(node int, key string) bool {
 	b := f.nodes[node]
 	c := b.Choose(f.now, f.list, balance.Request{Service: engines(), Key: key})
 	if c == nil {
@@ -62,8 +63,8 @@
 	return true
 }
 
-// busiest returns the most that an endpoint got within one second.
-func (f *coldFleet) busiest() int {
+// maxPerSecond returns the most requests that an endpoint was sent within one second.
+func (f *coldFleet) maxPerSecond() int {
 	most := 0
 	for _, times := range f.sent {
 		from := 0
@@ -77,18 +78,19 @@
 	return most
 }
 
-// Guards against this failure: engines that have just started crash, and crash again.
+// Guards against engines that crash again and again after a start, under the requests
+// of all nodes together.
 func TestColdEnginesGetFewRequestsFromAllNodes(t *testing.T) {
 	cases := []struct {
 		name string
-		// known is how many nodes each of them knows; the others are cut off, and
-		// know as few.
+		// known is the number of nodes that each of them knows; the others are
+		// partitioned, and know as few.
 		nodes, known int
 		seeds        uint64
 	}{
 		{name: "small", nodes: 8, known: 8, seeds: 40},
 		{name: "middle", nodes: 85, known: 85, seeds: 10},
-		{name: "a third is cut off and forgotten", nodes: 85, known: 57, seeds: 10},
+		{name: "a third is partitioned and forgotten", nodes: 85, known: 57, seeds: 10},
 		{name: "large", nodes: 195, known: 195, seeds: 4},
 		{name: "the largest", nodes: 330, known: 330, seeds: 2},
 	}
@@ -98,49 +100,49 @@
 			for seed := range c.seeds {
 				f := newColdFleet(c.nodes, c.known, 0, 3, seed)
 				served := 0
-				// Each node asks a hundred times a second for as long as an engine
+				// Each node has a hundred requests a second for as long as an engine
 				// is cold.
 				for range 300 {
 					f.now = f.now.Add(10 * time.Millisecond)
 					for n := range f.nodes {
-						if f.ask(n, "hot") {
+						if f.send(n, "hot") {
 							served++
 						}
 					}
 				}
-				require.LessOrEqual(t, f.busiest(), coldBound, "seed %d", seed)
-				require.Greater(t, served, 3*3*int(coldRate)/4, "places of cold engines stay unused, seed %d", seed)
+				require.LessOrEqual(t, f.maxPerSecond(), coldBound, "seed %d", seed)
+				require.Greater(t, served, 3*3*int(coldRate)/4, "capacity of cold engines stays unused, seed %d", seed)
 			}
 		})
 	}
 }
 
-// Where warm engines have room, a cold one gets nothing; and where they have none,
-// few requests go to it rather than none at all.
-func TestWarmEnginesGoFirst(t *testing.T) {
+// A cold engine is sent nothing while warm engines have room; if they have none, it
+// is sent a few requests rather than none at all.
+func TestWarmEnginesArePreferred(t *testing.T) {
 	f := newColdFleet(8, 8, 3, 3, 1)
 	for n := range 400 {
 		f.now = f.now.Add(10 * time.Millisecond)
-		require.True(t, f.ask(n%8, fmt.Sprint("part", n%50)))
+		require.True(t, f.send(n%8, fmt.Sprint("part", n%50)))
 	}
-	require.Zero(t, f.busiest())
+	require.Zero(t, f.maxPerSecond())
 	for _, e := range f.list[:3] {
 		e.Draining = true
 	}
 	served := 0
 	for n := range 400 {
 		f.now = f.now.Add(10 * time.Millisecond)
-		if f.ask(n%8, fmt.Sprint("part", n%50)) {
+		if f.send(n%8, fmt.Sprint("part", n%50)) {
 			served++
 		}
 	}
 	require.Positive(t, served)
-	require.LessOrEqual(t, f.busiest(), coldBound)
+	require.LessOrEqual(t, f.maxPerSecond(), coldBound)
 }
 
-// Guards against this failure: fifty requests reach an engine in the tenth of a second in which
-// it says that it is warm, some of them while it is not.
-func TestNodesDoNotComeBackAtOnce(t *testing.T) {
+// Guards against a burst of fifty requests in the 100 ms in which an engine announces
+// that it is warm, some of them before it is.
+func TestNodesReturnGraduallyToAWarmEngine(t *testing.T) {
 	f := newColdFleet(85, 85, 1, 1, 1)
 	f.list[0].Draining = true
 	engine, end := f.list[1], f.now.Add(3*time.Second)
@@ -151,7 +153,7 @@
 		if step%10 == 0 {
 			busiest, tenth = max(busiest, tenth), 0
 		}
-		// Each node has one request that waits for the engine.
+		// Each node has one request waiting for the engine.
 		for n, b := range f.nodes {
 			if b == nil {
 				continue
@@ -173,11 +175,12 @@
 	require.Zero(t, before)
 	require.LessOrEqual(t, busiest, 85*2/5)
 	for _, b := range f.nodes {
-		require.Nil(t, b, "all come back")
+		require.Nil(t, b, "all nodes return")
 	}
 }
 
-// sharedLoads are the requests that a node's peers have in progress, of all.
+// sharedLoads are the requests that a node's peers have in progress: those of all
+// without the node's own.
 type sharedLoads struct {
 	noPeers
 	all, own map[uint32]int
@@ -185,9 +188,9 @@
 
 func (c sharedLoads) Others(key uint32) int { return c.all[key] - c.own[key] }
 
-// Guards against this failure: half of all requests reach engines that hold more than twice the
-// mean.
-func TestColdEnginesTakeWhatIsOverTheBound(t *testing.T) {
+// Guards against half of all requests reaching engines with more than twice the mean
+// load: cold engines must take what is above the bound of the warm ones.
+func TestColdEnginesTakeLoadAboveTheBound(t *testing.T) {
 	const nodes, zone = 40, 20
 	f := newColdFleet(nodes, nodes, 2*zone, zone, 1)
 	for i, e := range f.list {
@@ -233,19 +236,19 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, f.busiest(), coldBound)
+	require.LessOrEqual(t, f.maxPerSecond(), coldBound)
 	require.LessOrEqual(t, over, counts*3/100)
 }
 
 // A node that has just started does not know how many others there are.
-func TestNodeThatHasJustStartedTakesTheFleetForLarge(t *testing.T) {
+func TestNewNodeAssumesALargeFleet(t *testing.T) {
 	served := func(settled time.Duration) int {
 		f := newColdFleet(1, 1, 0, 1, 1)
 		f.now = time.Now().Add(settled)
 		n := 0
 		for range 100 {
 			f.now = f.now.Add(10 * time.Millisecond)
-			if f.ask(0, "part") {
+			if f.send(0, "part") {
 				n++
 			}
 		}
@@ -255,8 +258,8 @@
 	require.GreaterOrEqual(t, served(time.Minute), 4)
 }
 
-// What is learnt of an engine while it is cold does not outlast that.
-func TestColdEnginesTeachNothingOfReading(t *testing.T) {
+// The prefill rate measured on an engine while it is cold is not used afterwards.
+func TestColdEnginesDoNotAffectThePrefillRate(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		cold bool
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -6,66 +6,67 @@
 )
 
 const (
-	// failureMemory is the time over which failed attempts count: long against
-	// the time that news takes, short against a fault's.
+	// failureMemory is the time over which failed attempts count: long compared with
+	// the propagation delay of gossip, short compared with the duration of a fault.
 	failureMemory = 2 * time.Second
-	// leastFailures is how many of them, of all nodes, say anything.
-	leastFailures = 4
-	// carefulShare is the part of the failures from which an endpoint is avoided
-	// that suffices for requests that may not be repeated.
-	carefulShare = 0.5
+	// minFailures is the number of failures, over all nodes, below which they are
+	// ignored.
+	minFailures = 4
+	// unrepeatableFactor scales the number of failures from which an endpoint is
+	// avoided, for requests that may not be repeated.
+	unrepeatableFactor = 0.5
 )
 
-// Failures returns this node's attempts that endpoints have failed lately, by the
-// the Keys of the endpoints' starts, for the other nodes.
+// Failures returns the number of this node's attempts that failed recently, by the
+// Key of the endpoint's Start, for the other nodes.
 func (b *Balancer) Failures(now time.Time) map[uint32]int {
-	return b.counts(func(o *own) int { return int(math.Round(o.failed.Get(now))) })
+	return b.counts(func(o *endpointState) int { return int(math.Round(o.failures.Get(now))) })
 }
 
-// noteFailure counts an attempt that an endpoint failed.
-func (o *own) noteFailure(now time.Time, outcome Outcome) {
+// noteFailure counts an attempt if it failed at the endpoint.
+func (s *endpointState) noteFailure(now time.Time, outcome Outcome) {
 	switch outcome {
 	case Failed, Unreachable, Gone:
-		o.failed.Add(now)
+		s.failures.Add(now)
 	case Served, Refused, Unknown, Full:
 	}
 }
 
-// failing tells which endpoints fail far more of all nodes' attempts than the
-// others of their service.
+// failing holds which endpoints fail far more of all nodes' attempts than the others
+// of their service.
 type failing struct {
-	// failed are the failures of each endpoint, and expected is how many attempts
-	// each gets where all get as many.
-	failed   []float64
+	// failures are those of each endpoint, expected is the number of attempts at each
+	// if all get the same number.
+	failures []float64
 	mean     float64
 	expected float64
 }
 
-// failing sums up what all nodes have seen of the endpoints.
+// failing sums up the failures that all nodes have seen at the endpoints.
 //
-// Each node sends an endpoint one request in ten seconds where there are many of
-// both. Were each to find out for itself, hundreds of requests would fail at an
-// endpoint that says it is well.
-func (b *Balancer) failing(now time.Time, known []*own, service string) failing {
-	f := failing{failed: make([]float64, len(known))}
-	for i, o := range known {
-		f.failed[i] = o.failed.Get(now) + float64(b.config.Loads.OthersFailures(o.key))
-		f.mean += f.failed[i] / float64(len(known))
+// With many nodes and endpoints, each node sends an endpoint one request in ten
+// seconds. If each had to find out for itself, hundreds of requests would fail at an
+// endpoint that reports itself healthy.
+func (b *Balancer) failing(now time.Time, states []*endpointState, service string) failing {
+	f := failing{failures: make([]float64, len(states))}
+	for i, o := range states {
+		f.failures[i] = o.failures.Get(now) + float64(b.config.Loads.OthersFailures(o.key))
+		f.mean += f.failures[i] / float64(len(states))
 	}
-	if asked := b.asked[service]; asked != nil {
-		f.expected = asked.Get(now) * float64(b.config.Nodes()) / float64(max(len(known), 1))
+	if requests := b.requests[service]; requests != nil {
+		f.expected = requests.Get(now) * float64(b.config.Nodes()) / float64(max(len(states), 1))
 	}
 	return f
 }
 
-// avoid reports whether an endpoint is to be passed over by a request.
+// avoid reports whether a request should avoid an endpoint.
 //
-// Only requests that may be repeated try an endpoint again whose failures are about
-// to be forgotten: if it still fails, they are answered elsewhere.
+// Only requests that may be repeated try an endpoint again whose failures have almost
+// expired: if it still fails, another endpoint answers them.
 func (f *failing) avoid(i int, repeats bool) bool {
-	least := max(leastFailures, suspectShare*f.expected)
+	threshold := max(minFailures, suspectShare*f.expected)
 	if !repeats {
-		least *= carefulShare
+		threshold *= unrepeatableFactor
 	}
-	return f.failed[i] >= least && f.failed[i] > suspectTimes*f.mean
+	return f.failures[i] >= threshold && f.failures[i] > suspectTimes*f.mean
 }
--- a/internal/balance/failures_test.go
+++ b/internal/balance/failures_test.go
@@ -12,60 +12,60 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// newsEvery is how often the nodes of the model hear of each other's failures.
-const newsEvery = 300 * time.Millisecond
+// gossipInterval is how often the nodes of the model exchange their failures.
+const gossipInterval = 300 * time.Millisecond
 
 type (
-	// teller is a node that hears of the others' failures, or does not.
-	teller struct {
+	// failureNode is a node that may receive the others' failures.
+	failureNode struct {
 		*balance.Balancer
-		heard map[uint32]int
+		received map[uint32]int
 	}
 
-	// failingFleet is nodes before engines of which some fail.
+	// failingFleet is a fleet of nodes with engines of which some fail.
 	failingFleet struct {
-		nodes  []*teller
+		nodes  []*failureNode
 		list   []*deployment.Endpoint
 		random *rand.Rand
 		now    time.Time
-		// share is the part of its requests that each engine fails.
+		// share is the fraction of its requests that each engine fails.
 		share map[string]float64
-		// told says that the nodes tell each other.
-		told bool
-		// failed are the requests that engines failed, by whether they may be
-		// repeated, and sent all that an engine got.
+		// gossips reports whether the nodes exchange their failures.
+		gossips bool
+		// failed counts the failed requests by whether they may be repeated, sent
+		// those sent to each engine.
 		failed map[bool]int
 		sent   map[string]int
 	}
 )
 
-func (*teller) Others(uint32) int { return 0 }
+func (*failureNode) Others(uint32) int { return 0 }
 
-func (*teller) OthersReading(uint32) int { return 0 }
+func (*failureNode) OthersReading(uint32) int { return 0 }
 
-// Age implements balance.Loads: all is new.
-func (*teller) Age(time.Time) time.Duration { return 0 }
+// Age implements balance.Loads: all counts are new.
+func (*failureNode) Age(time.Time) time.Duration { return 0 }
 
-func (n *teller) OthersFailures(key uint32) int { return n.heard[key] }
+func (n *failureNode) OthersFailures(key uint32) int { return n.received[key] }
 
 func newFailingFleet(nodes, engines int, told bool, seed uint64) *failingFleet {
 	f := &failingFleet{
 		list: endpoints(engines), random: rand.New(rand.NewPCG(seed, 0)), now: time.Now().Add(time.Minute),
-		share: map[string]float64{}, told: told, failed: map[bool]int{}, sent: map[string]int{},
+		share: map[string]float64{}, gossips: told, failed: map[bool]int{}, sent: map[string]int{},
 	}
 	for _, e := range f.list {
 		e.Service = "s"
 	}
 	for range nodes {
-		n := &teller{}
+		n := &failureNode{}
 		n.Balancer = balance.New(balance.Config{Loads: n, Nodes: func() int { return nodes }, Draw: f.random.Float64})
 		f.nodes = append(f.nodes, n)
 	}
 	return f
 }
 
-// tell lets all nodes hear of the others' failures.
-func (f *failingFleet) tell() {
+// gossip sends each node the others' failures.
+func (f *failingFleet) gossip() {
 	sum := map[uint32]int{}
 	for _, n := range f.nodes {
 		for key, failures := range n.Failures(f.now) {
@@ -74,21 +74,21 @@
 	}
 	for _, n := range f.nodes {
 		own := n.Failures(f.now)
-		n.heard = map[uint32]int{}
+		n.received = map[uint32]int{}
 		for key, failures := range sum {
-			n.heard[key] = failures - own[key]
+			n.received[key] = failures - own[key]
 		}
 	}
 }
 
-// run plays requests at a rate a second, half of which may be repeated.
+// run sends requests at a rate a second; half of them may be repeated.
 func (f *failingFleet) run(rate int, length time.Duration) {
 	step := time.Second / time.Duration(rate)
-	heard := f.now
+	gossiped := f.now
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
-		if f.told && f.now.Sub(heard) >= newsEvery {
-			f.tell()
-			heard = f.now
+		if f.gossips && f.now.Sub(gossiped) >= gossipInterval {
+			f.gossip()
+			gossiped = f.now
 		}
 		n := f.nodes[f.random.IntN(len(f.nodes))]
 		repeats := f.random.IntN(2) == 0
@@ -108,9 +108,10 @@
 	}
 }
 
-// Guards against this failure: hundreds of requests that may not be repeated are lost at a few
-// engines, seconds after the first of them was.
-func TestNodesTellEachOtherOfEnginesThatFail(t *testing.T) {
+// Guards against hundreds of lost requests that may not be repeated, at a few engines
+// and seconds after the first loss there: each node alone sees too few failures to
+// avoid an engine.
+func TestNodesShareFailuresOfEngines(t *testing.T) {
 	lost := map[bool]int{}
 	for _, told := range []bool{false, true} {
 		for seed := range uint64(3) {
@@ -123,20 +124,20 @@
 			lost[told] += f.failed[false]
 		}
 	}
-	t.Logf("lost without news %d, with news %d", lost[false], lost[true])
+	t.Logf("lost without gossip %d, with gossip %d", lost[false], lost[true])
 	require.Less(t, lost[true], lost[false]/3)
 }
 
-// What endpoints fail now and then, or all alike, is no reason to avoid them; and
-// one that is well again is used again.
-func TestEnginesThatFailAsOthersDoAreUsed(t *testing.T) {
+// Failures that are occasional, or the same at all endpoints, are no reason to avoid
+// them; an endpoint that has recovered is used again.
+func TestCommonOrPastFailuresDoNotBlockEngines(t *testing.T) {
 	cases := []struct {
 		name  string
 		share func(i int) float64
 	}{
 		{name: "all fail alike", share: func(int) float64 { return 0.45 }},
-		{name: "half of them fail now and then", share: func(i int) float64 { return 0.05 * float64(i%2) }},
-		{name: "one failed all for two seconds, five seconds ago", share: func(int) float64 { return 0 }},
+		{name: "half of them fail occasionally", share: func(i int) float64 { return 0.05 * float64(i%2) }},
+		{name: "one failed all requests for two seconds, five seconds ago", share: func(int) float64 { return 0 }},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// An endpoint to whose address another one has come is used only where there is no
+// An endpoint whose address belongs to another one by now is used only if there is no
 // other.
 func TestReplacedEndpointsComeLast(t *testing.T) {
 	list := endpoints(3)
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -5,37 +5,37 @@
 )
 
 const (
-	// firstDown and longestDown bound how long an endpoint that could not be reached
-	// gets nothing; the time doubles with each failure in a row.
-	firstDown   = 250 * time.Millisecond
-	longestDown = 4 * time.Second
-	// learning is the weight of the newest outcome in the share of failures:
-	// four failures in a row make a sound endpoint suspect.
-	learning = 0.12
-	// regaining is the same for an answer of a suspect endpoint, which gets few
-	// requests: three answers make it sound again.
-	regaining = 0.4
-	// suspectShare is the share of failures from which an endpoint is suspect,
-	// if it is also suspectTimes the service's mean: some services fail part
+	// minUnreachableBackoff and maxUnreachableBackoff bound how long an unreachable
+	// endpoint is not sent anything; the time doubles with each consecutive failure.
+	minUnreachableBackoff = 250 * time.Millisecond
+	maxUnreachableBackoff = 4 * time.Second
+	// failureWeight is the weight of the newest outcome in the failure rate: three
+	// consecutive failures make a healthy endpoint suspect.
+	failureWeight = 0.12
+	// recoveryWeight is the weight of an answer of a suspect endpoint, which gets few
+	// requests: three answers make it healthy again.
+	recoveryWeight = 0.4
+	// suspectShare is the failure rate above which an endpoint is suspect, if the
+	// rate is also above suspectTimes the service's mean: some services fail a part
 	// of their requests at every endpoint.
 	suspectShare = 0.3
 	suspectTimes = 2.0
-	// probation is how long a suspect endpoint gets nothing before one request
-	// tries it again.
-	probation = time.Second
+	// probeInterval is how long a suspect endpoint is avoided before it is probed
+	// with one request.
+	probeInterval = time.Second
 )
 
 // Outcomes of an attempt.
 const (
 	// Served is an answer.
 	Served Outcome = iota
-	// Failed is an answer that says the endpoint failed, or a broken answer.
+	// Failed is an answer that reports a failure of the endpoint, or a broken answer.
 	Failed
-	// Unreachable is a connection that could not be made.
+	// Unreachable is a connection that could not be established.
 	Unreachable
-	// Refused is an answer that says the request did not run.
+	// Refused is an answer that reports that the request did not run.
 	Refused
-	// Unknown is an attempt that was given up for another reason.
+	// Unknown is an attempt that was abandoned for another reason.
 	Unknown
 	// Full is a reservation that was refused.
 	Full
@@ -47,47 +47,47 @@
 	// Outcome is how an attempt at an endpoint ended.
 	Outcome int
 
-	// health is what a node has seen of one endpoint.
+	// health is what a node has observed of one endpoint.
 	health struct {
-		failures float64
-		row      int
-		// until is when an endpoint that was not reached may be tried again,
-		// and retry the same for a suspect one.
-		until time.Time
-		retry time.Time
-		gone  bool
-		full  time.Time
-		// busy is until when no place is asked for.
-		busy time.Time
+		failureRate      float64
+		unreachableCount int
+		// unreachableUntil is when an unreachable endpoint may be tried again,
+		// probeAt the same for a suspect one.
+		unreachableUntil time.Time
+		probeAt          time.Time
+		gone             bool
+		refusedUntil     time.Time
+		// noPlaceUntil is the time before which no reservation is requested.
+		noPlaceUntil time.Time
 	}
 )
 
-func (h *health) note(o Outcome, now time.Time) {
+func (h *health) record(o Outcome, now time.Time) {
 	switch o {
 	case Served:
-		if h.failures > suspectShare {
-			h.failures *= 1 - regaining
+		if h.failureRate > suspectShare {
+			h.failureRate *= 1 - recoveryWeight
 		} else {
-			h.failures *= 1 - learning
+			h.failureRate *= 1 - failureWeight
 		}
-		h.row = 0
-		h.until = time.Time{}
+		h.unreachableCount = 0
+		h.unreachableUntil = time.Time{}
 	case Failed:
-		h.failures += learning * (1 - h.failures)
+		h.failureRate += failureWeight * (1 - h.failureRate)
 	case Unreachable:
-		h.until = now.Add(min(firstDown<<min(h.row, 5), longestDown))
-		h.row++
+		h.unreachableUntil = now.Add(min(minUnreachableBackoff<<min(h.unreachableCount, 5), maxUnreachableBackoff))
+		h.unreachableCount++
 	case Gone:
 		h.gone = true
 	case Refused:
-		h.full = now.Add(fullPause)
+		h.refusedUntil = now.Add(refusedBackoff)
 	case Full:
-		h.busy = now.Add(busyPause)
+		h.noPlaceUntil = now.Add(reservationBackoff)
 	case Unknown:
 	}
 }
 
-// suspect reports whether the endpoint fails far more than the others.
+// suspect reports whether the endpoint fails far more often than the others.
 func (h *health) suspect(mean float64) bool {
-	return h.failures > suspectShare && h.failures > suspectTimes*mean
+	return h.failureRate > suspectShare && h.failureRate > suspectTimes*mean
 }
--- a/internal/balance/order.go
+++ b/internal/balance/order.go
@@ -8,21 +8,20 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// first returns the endpoint that comes first in a part's rendezvous order, but
-// for one that is left out. Draining ones are among them: they still keep what
-// was sent to them.
+// first returns the first endpoint in a part's rendezvous order, except one. Draining
+// endpoints are included: they still hold what was sent to them.
 func first(part uint64, list []*deployment.Endpoint, but *deployment.Endpoint) *deployment.Endpoint {
-	var best *deployment.Endpoint
+	var top *deployment.Endpoint
 	var highest uint64
 	for _, e := range list {
-		if s := score(part, e); e != but && (best == nil || s > highest) {
-			best, highest = e, s
+		if s := score(part, e); e != but && (top == nil || s > highest) {
+			top, highest = e, s
 		}
 	}
-	return best
+	return top
 }
 
-// score is an endpoint's place in a part's rendezvous order; the highest is
+// score is the weight of an endpoint in a part's rendezvous order; the highest comes
 // first.
 func score(part uint64, e *deployment.Endpoint) uint64 {
 	var b [16]byte
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -9,7 +9,7 @@
 func (b *Balancer) pick(all []candidate, m means, r Request) *candidate {
 	if r.Key != "" {
 		c := b.pickKeyed(all, m, r)
-		if r.Stay && c != nil && c.leaves(all) {
+		if r.Stay && c != nil && c.leavesHolders(all) {
 			return nil
 		}
 		return c
@@ -17,87 +17,86 @@
 	return b.pickPlain(all)
 }
 
-// pickKeyed takes the first endpoint of the key's rendezvous order that is
-// under the bound, so that all nodes send what shares a prompt to one endpoint.
-// Endpoints that keep the prompt's part go before all others: one that has just
-// joined would have to fetch it. One that is busy reading gives way to another.
-// Past the bound it takes the least loaded with room.
+// pickKeyed takes the first endpoint of the key's rendezvous order that is under the
+// bound, so that all nodes send requests that share a prompt to one endpoint.
+// Endpoints that hold the prompt's part precede all others: one that has just joined
+// would have to fetch it. One with a long prefill queue is passed over for another.
+// If all are over the bound, it takes the least loaded with room.
 func (b *Balancer) pickKeyed(all []candidate, m means, r Request) *candidate {
 	bound := b.bound(m)
-	var best, least, last *candidate
+	var best, leastLoaded, leastLoadedSuspect *candidate
 	for i := range all {
 		c := &all[i]
-		if c.closed {
+		if c.blocked {
 			continue
 		}
-		if last == nil || c.load < last.load {
-			last = c
+		if leastLoadedSuspect == nil || c.load < leastLoadedSuspect.load {
+			leastLoadedSuspect = c
 		}
 		if c.suspect {
 			continue
 		}
-		c.ahead = c.holds && float64(c.load) < stayRatio*m.usable+staySlack
-		if float64(c.load) < bound && c.before(best) {
+		c.preferred = c.holds && float64(c.load) < affinityRatio*m.usable+affinitySlack
+		if float64(c.load) < bound && c.precedes(best) {
 			best = c
 		}
-		if least == nil || c.load < least.load {
-			least = c
+		if leastLoaded == nil || c.load < leastLoaded.load {
+			leastLoaded = c
 		}
 	}
 	if best != nil {
-		return b.quicker(all, best, bound, r)
+		return b.avoidPrefillQueue(all, best, bound, r)
 	}
-	return cmp.Or(least, last)
+	return cmp.Or(leastLoaded, leastLoadedSuspect)
 }
 
-// bound is the load from which an endpoint is passed over. The endpoints of an
-// evacuated zone count in the mean that it is a multiple of.
+// bound is the load from which an endpoint is passed over. The mean that it is a
+// multiple of includes the endpoints of evacuated zones.
 func (b *Balancer) bound(m means) float64 {
-	return capShare*cmp.Or(b.config.Cap, defaultCap)*m.all + boundSlack
+	return boundShare*cmp.Or(b.config.Cap, defaultLoadFactor)*m.all + boundSlack
 }
 
-// leaves reports whether a prompt would leave the engines that keep it for one
-// of the last places of another.
+// leavesHolders reports whether the request would leave the engines that hold its
+// prompt for one of the last slots of another.
 //
-// Where places are short, a place comes free somewhere every few milliseconds,
-// and rarely where the prompt is kept. Most prompts would move with each request.
-// A short wait brings a place at the right engine, and the other goes to somebody
-// else.
-func (c *candidate) leaves(all []candidate) bool {
-	return !c.holds && c.scarce() && slices.ContainsFunc(all, func(o candidate) bool { return o.holds })
+// When slots are short, one becomes free somewhere every few milliseconds, but rarely
+// where the prompt is held. Most prompts would move with each request. After a short
+// wait the right engine has a free slot, and another request takes the other one.
+func (c *candidate) leavesHolders(all []candidate) bool {
+	return !c.holds && c.nearlyFull() && slices.ContainsFunc(all, func(o candidate) bool { return o.holds })
 }
 
-// scarce reports whether the engine may be full by now.
-func (c *candidate) scarce() bool { return float64(c.load) >= scarceShare*float64(c.slots) }
+// nearlyFull reports whether the engine may be full by now.
+func (c *candidate) nearlyFull() bool { return float64(c.load) >= nearlyFullShare*float64(c.slots) }
 
-// before reports whether the candidate is preferred to another for a key.
-func (c *candidate) before(o *candidate) bool {
-	if o == nil || c.ahead != o.ahead {
-		return o == nil || c.ahead
+// precedes reports whether the candidate is preferred to another for a key.
+func (c *candidate) precedes(other *candidate) bool {
+	if other == nil || c.preferred != other.preferred {
+		return other == nil || c.preferred
 	}
-	return c.score > o.score
+	return c.score > other.score
 }
 
-// pickPlain takes the better of two endpoints that it draws, by their load for
-// their slots. Were the least loaded of all taken, all nodes would take the same
-// one until they hear of each other again.
+// pickPlain takes the better of two random endpoints, by load per slot. If nodes took
+// the least loaded of all, all would take the same one until they next hear from each
+// other.
 func (b *Balancer) pickPlain(all []candidate) *candidate {
-	var sound, rest []*candidate
+	var healthy, suspects []*candidate
 	for i := range all {
 		c := &all[i]
 		switch {
-		case c.closed:
+		case c.blocked:
 		case c.suspect:
-			rest = append(rest, c)
+			suspects = append(suspects, c)
 		default:
-			sound = append(sound, c)
+			healthy = append(healthy, c)
 		}
 	}
-	return cmp.Or(b.better(sound), b.better(rest))
+	return cmp.Or(b.lessLoadedOfTwo(healthy), b.lessLoadedOfTwo(suspects))
 }
 
-// better returns the less loaded of two that it draws.
-func (b *Balancer) better(list []*candidate) *candidate {
+// lessLoadedOfTwo draws two candidates and returns the one with the lower cost.
+func (b *Balancer) lessLoadedOfTwo(list []*candidate) *candidate {
 	if len(list) < 2 {
 		return slices.Concat(list, []*candidate{nil})[0]
 	}
@@ -115,7 +114,7 @@
 func (b *Balancer) plainCost(c *candidate) float64 {
 	cost := float64(c.load) / float64(c.slots)
 	if c.endpoint.Zone != b.config.Zone {
-		cost += remoteCost
+		cost += crossZoneCost
 	}
 	return cost
 }
--- a/internal/balance/property_test.go
+++ b/internal/balance/property_test.go
@@ -13,9 +13,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// Whatever was chosen, released and heard before, a choice is no endpoint that
-// drains, that had the request, or that was found to be gone; and the counts are
-// those of the requests that are still out.
+// Whatever was chosen, released and reported before, the chosen endpoint is not
+// draining, not tried, not gone and not in backoff; and the counts are those of the
+// requests still in progress.
 func TestChoicesAreSound(t *testing.T) {
 	outcomes := []balance.Outcome{
 		balance.Served, balance.Failed, balance.Unreachable, balance.Refused, balance.Unknown, balance.Gone,
@@ -74,12 +74,12 @@
 			}
 			out = append(out, c.Endpoint.Start())
 		}
-		require.Equal(t, counted(out), b.Active())
+		require.Equal(t, countByKey(out), b.Active())
 	})
 }
 
-// Where all nodes know the same, they choose the same endpoint for a part, and a
-// new endpoint changes the choice of no part but to itself.
+// Nodes with the same state choose the same endpoint for a part, and a new endpoint
+// moves parts to itself only.
 func TestPartsStayWhereEndpointsJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "endpoints")
@@ -95,7 +95,7 @@
 	})
 }
 
-func counted(starts []deployment.Start) map[uint32]int {
+func countByKey(starts []deployment.Start) map[uint32]int {
 	counts := map[uint32]int{}
 	for _, s := range starts {
 		counts[s.Key()]++
--- a/internal/balance/reading.go
+++ b/internal/balance/reading.go
@@ -6,109 +6,111 @@
 )
 
 const (
-	// learntFrom is the least number of tokens from which the rate of reading is
-	// learnt: with fewer, an answer's beginning says more about the network.
-	learntFrom = 2000
-	// rateLearning is the weight of the newest prompt in the rate.
-	rateLearning = 0.05
-	// busyReading is the part of the latency objective for which an engine may be
-	// busy reading before others are looked at.
-	busyReading = 0.25
-	// quickerBy is how many times more the first engine must have to read than
-	// another one, for the request to go there.
-	quickerBy = 2
-	// moveCost is how many times the tokens of a part count that an engine would
-	// have to read though another keeps it: that engine is busy with them, keeps
-	// them in place of other parts, and has them read again next time.
-	moveCost = 4
-	// orderDepth is how many engines of a part's order may be the first to read
-	// it: nodes that do not know of each other's choice yet meet at one of them.
+	// minSampleTokens is the least number of tokens from which the prefill rate is
+	// learned: with fewer, the time to the first byte depends more on the network.
+	minSampleTokens = 2000
+	// sampleWeight is the weight of the newest prompt in the rate.
+	sampleWeight = 0.05
+	// busyPrefillShare is the fraction of the latency objective for which an engine
+	// may have prompts to process before others are considered.
+	busyPrefillShare = 0.25
+	// shorterBy is how many times shorter the prefill queue of another engine must be
+	// than the first one's for the request to go there.
+	shorterBy = 2
+	// recomputeFactor is the weight of the tokens of a part that an engine would have
+	// to process though another holds it: they occupy the engine and displace other
+	// parts from its memory, which it then has to process again.
+	recomputeFactor = 4
+	// orderDepth is how many engines of a part's rendezvous order may be the first to
+	// process it: nodes that do not know of each other's choice yet then often choose
+	// the same one.
 	orderDepth = 3
 )
 
 // Prompt is the size of a prompt, in tokens.
 type Prompt struct {
-	// Own are those of the request alone, which no engine keeps.
+	// Own is the number of tokens of this request alone, which no engine holds.
 	Own int
-	// Shared are those of the part by which requests share memory.
+	// Shared is the number of tokens of the part that requests share in memory.
 	Shared int
 }
 
-// Read notes that an engine has read a request's prompt, and how long that took;
-// with 0, that it will not. How long a cold one took says nothing of any engine
-// once it is warm.
+// Read records that an engine has processed a request's prompt, and how long that
+// took; 0 means that it will not process it. The time of a cold engine is ignored, as
+// it does not apply to warm ones.
 func (b *Balancer) Read(now time.Time, c *Choice, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.get(c.Endpoint.Start(), now).reading -= c.tokens
+	b.state(c.Endpoint.Start(), now).prefill -= c.prefill
 	if !c.Cold {
-		b.learn(c.tokens+c.backlog, took)
+		b.learnPrefillRate(c.prefill+c.backlog, took)
 	}
-	c.tokens = 0
+	c.prefill = 0
 }
 
-// Reading returns the prompt tokens that endpoints are still to read for this
-// node's requests, by the Keys of the endpoints' starts.
+// Reading returns the number of prompt tokens that endpoints still have to process
+// for this node's requests, by the Key of the endpoint's Start.
 func (b *Balancer) Reading() map[uint32]int {
-	return b.counts(func(o *own) int { return o.reading })
+	return b.counts(func(o *endpointState) int { return o.prefill })
 }
 
-func (b *Balancer) learn(tokens int, took time.Duration) {
-	if took <= 0 || tokens < learntFrom {
+func (b *Balancer) learnPrefillRate(tokens int, took time.Duration) {
+	if took <= 0 || tokens < minSampleTokens {
 		return
 	}
 	per := took / time.Duration(tokens)
-	if b.perToken == 0 {
-		b.perToken = per
+	if b.prefillPerToken == 0 {
+		b.prefillPerToken = per
 	}
-	b.perToken += time.Duration(rateLearning * float64(per-b.perToken))
+	b.prefillPerToken += time.Duration(sampleWeight * float64(per-b.prefillPerToken))
 }
 
-// estimate notes in a choice what its engine has to read.
-func (b *Balancer) estimate(choice *Choice, c *candidate, r Request) {
-	choice.backlog, choice.tokens = c.reading, r.Prompt.Own
+// estimatePrefill sets what the chosen engine has to process, and how long that will
+// take.
+func (b *Balancer) estimatePrefill(choice *Choice, c *candidate, r Request) {
+	choice.backlog, choice.prefill = c.prefill, r.Prompt.Own
 	if !c.holds {
-		choice.tokens += r.Prompt.Shared
+		choice.prefill += r.Prompt.Shared
 	}
-	choice.Reading = time.Duration(choice.backlog+choice.tokens) * b.perToken
+	choice.Reading = time.Duration(choice.backlog+choice.prefill) * b.prefillPerToken
 }
 
-// quicker returns an engine that would begin the answer much sooner than the one
-// that comes first, if that is busy reading.
+// avoidPrefillQueue returns an engine that would begin the answer much sooner than
+// best, if best has a long prefill queue, or else best.
 //
-// Engines read prompts one after another. Counted in requests, an engine that has
-// begun to read ten thousand tokens looks idle. Short requests would wait behind
-// long prompts while the engines beside have nothing to read.
-func (b *Balancer) quicker(all []candidate, best *candidate, bound float64, r Request) *candidate {
-	if time.Duration(best.reading)*b.perToken <= time.Duration(busyReading*float64(r.Objective)) {
+// Engines process prompts one after another. By its number of requests, an engine
+// that has begun on ten thousand tokens looks idle. Short requests would wait behind
+// long prompts while neighboring engines have nothing to process.
+func (b *Balancer) avoidPrefillQueue(all []candidate, best *candidate, bound float64, r Request) *candidate {
+	if time.Duration(best.prefill)*b.prefillPerToken <= time.Duration(busyPrefillShare*float64(r.Objective)) {
 		return best
 	}
-	kept := slices.ContainsFunc(all, func(c candidate) bool { return c.holds })
+	held := slices.ContainsFunc(all, func(c candidate) bool { return c.holds })
 	var other *candidate
 	for i := range all {
 		c := &all[i]
-		if c == best || c.closed || c.suspect || float64(c.load) >= bound || (!kept && place(all, c) >= orderDepth) {
+		if c == best || c.blocked || c.suspect || float64(c.load) >= bound || (!held && rank(all, c) >= orderDepth) {
 			continue
 		}
-		if other == nil || c.reading < other.reading {
+		if other == nil || c.prefill < other.prefill {
 			other = c
 		}
 	}
 	if other == nil {
 		return best
 	}
-	tokens := other.reading
-	if kept && !other.holds {
-		tokens += moveCost * r.Prompt.Shared
+	tokens := other.prefill
+	if held && !other.holds {
+		tokens += recomputeFactor * r.Prompt.Shared
 	}
-	if quickerBy*tokens < best.reading {
+	if shorterBy*tokens < best.prefill {
 		return other
 	}
 	return best
 }
 
-// place returns how many engines are before one in the part's order.
-func place(all []candidate, c *candidate) int {
+// rank returns the number of engines that precede one in the part's rendezvous order.
+func rank(all []candidate, c *candidate) int {
 	n := 0
 	for i := range all {
 		if all[i].score > c.score {
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -10,31 +10,31 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// born returns an endpoint that has started n times under the same ID.
-func born(id string, n int) *deployment.Endpoint {
+// restarted returns an endpoint that has started n times under the same ID.
+func restarted(id string, n int) *deployment.Endpoint {
 	return &deployment.Endpoint{ID: id, Born: time.UnixMilli(int64(1000 * n)), Zone: "z", Slots: 8}
 }
 
-// Guards against this failure: an engine that has started again under its ID gets nothing, or
-// is asked for prompts that it no longer keeps.
-func TestLaterStartKnowsNothingOfTheEarlier(t *testing.T) {
+// Guards against an engine that is sent nothing after a restart under its ID, or is
+// asked for prompts that it no longer holds.
+func TestLaterStartInheritsNoState(t *testing.T) {
 	now := time.Now()
-	other := born("other", 1)
+	other := restarted("other", 1)
 	request := balance.Request{Key: "doc"}
 	cases := []struct {
 		name string
-		// learn teaches the balancer something of the earlier start.
+		// learn gives the balancer some state of the earlier start.
 		learn func(b *balance.Balancer, old *deployment.Endpoint)
 	}{
 		{
-			name: "its address had another process",
+			name: "its address belonged to another process",
 			learn: func(b *balance.Balancer, old *deployment.Endpoint) {
 				b.Choose(now, []*deployment.Endpoint{old}, balance.Request{})
 				b.Release(now, old.Start(), balance.Gone)
 			},
 		},
 		{
-			name: "it could not be reached",
+			name: "it was unreachable",
 			learn: func(b *balance.Balancer, old *deployment.Endpoint) {
 				b.Choose(now, []*deployment.Endpoint{old}, balance.Request{})
 				b.Release(now, old.Start(), balance.Unreachable)
@@ -49,14 +49,14 @@
 			},
 		},
 		{
-			name: "it said that it was full",
+			name: "it reported that it was full",
 			learn: func(b *balance.Balancer, old *deployment.Endpoint) {
 				b.Reported(now, old.Start(), 100)
 				b.ReportsHeard(now, map[uint32]int{old.Start().Key(): 100})
 			},
 		},
 		{
-			name: "peers tell late where it kept a prompt",
+			name: "peers report late that it held a prompt",
 			learn: func(b *balance.Balancer, old *deployment.Endpoint) {
 				for _, key := range []string{"a", "b", "doc"} {
 					peer := balance.New(balance.Config{Loads: peers{}})
@@ -70,9 +70,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			fresh := balance.New(balance.Config{Loads: peers{}})
 			b := balance.New(balance.Config{Loads: peers{}})
-			c.learn(b, born("e0", 1))
-			again := born("e0", 2)
-			require.NotEqual(t, again.Start().Key(), born("e0", 1).Start().Key())
+			c.learn(b, restarted("e0", 1))
+			again := restarted("e0", 2)
+			require.NotEqual(t, again.Start().Key(), restarted("e0", 1).Start().Key())
 			list := []*deployment.Endpoint{again, other}
 			want, got := fresh.Choose(now, list, request), b.Choose(now, list, request)
 			require.Equal(t, want, got)
@@ -80,11 +80,11 @@
 	}
 }
 
-// The requests of an earlier start end after the later one has begun.
-func TestLateEndOfAnEarlierStartLeavesTheLaterAlone(t *testing.T) {
+// Requests of an earlier start end after the later one has begun.
+func TestLateReleaseOfAnEarlierStartDoesNotAffectTheLater(t *testing.T) {
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{}})
-	old, again := born("e0", 1), born("e0", 2)
+	old, again := restarted("e0", 1), restarted("e0", 2)
 	require.NotNil(t, b.Choose(now, []*deployment.Endpoint{old}, balance.Request{}))
 	require.NotNil(t, b.Choose(now, []*deployment.Endpoint{again}, balance.Request{}))
 	b.Release(now, old.Start(), balance.Unreachable)
