--- a/internal/admission/accounts.go
+++ b/internal/admission/accounts.go
@@ -9,45 +9,50 @@
 )
 
 const (
-	// usualMemory is the time over which it is learnt what accounts usually ask
-	// for: long against a surge, short against the hours over which it changes.
-	usualMemory = time.Minute
-	// surgeFactor is how many times its usual an account may ask for before what
-	// is more counts as excess, and surgeSlack how many requests beside that: of
-	// steady loads of 0.2 to 50 requests a second, less than one in 500 is more.
+	// baselineWindow is the time over which the usual request rate of accounts is
+	// learned: long compared with a surge, short compared with the hours over which
+	// the rate changes.
+	baselineWindow = time.Minute
+	// surgeFactor is the multiple of its usual number of requests above which an
+	// account's requests count as excess, and surgeSlack a number of requests in
+	// addition: with steady loads of 0.2 to 50 requests a second, less than one
+	// request in 500 exceeds that.
 	surgeFactor = 2.0
 	surgeSlack  = 2.0
-	// usualFactor is how many times its usual an account may ask for and have it
-	// learnt as usual. Were all learnt, a second of a surge shortly after a start
-	// would pass for usual. What grows for good is learnt in some minutes.
-	usualFactor = 1.25
-	// floorShare is the part of all requests' served share under which an account's
-	// is not to fall: whoever surges is served half as often as all.
-	floorShare = 0.5
-	// alone stands for growth without bound: who is alone takes nothing from others.
-	alone = 1e9
-	// maxAccounts is from how many accounts on those are forgotten that ask for
-	// nothing: 1,600 are in steady use.
+	// baselineFactor is the multiple of its usual number up to which an account's
+	// requests are learned as usual. If all were learned, a second of a surge shortly
+	// after a start would count as usual. Permanent growth is learned within some
+	// minutes.
+	baselineFactor = 1.25
+	// minServedRatio is the fraction of the served share of all requests below which
+	// an account's served share must not fall: a surging account is served half as
+	// often as all.
+	minServedRatio = 0.5
+	// unboundedGrowth is the growth of the others if there is only one account: it
+	// takes nothing from others.
+	unboundedGrowth = 1e9
+	// maxAccounts is the number of accounts from which idle ones are evicted: 1,600
+	// are in steady use.
 	maxAccounts = 4096
 )
 
 type (
-	// accounts knows what client accounts usually ask for.
+	// accounts knows the usual request rates of client accounts.
 	accounts struct {
 		byName map[string]*account
 		all    account
 	}
 
-	// account is what one asks for, usually, over usualMemory, and lately, over
-	// rateMemory; regular are those of late that were no excess. Asked and served
-	// are over shareMemory.
+	// account counts the requests of one account: baseline over baselineWindow,
+	// recent and regular over rateWindow, requested and served over shareWindow.
+	// Regular are the requests that were no excess.
 	account struct {
-		since   time.Time
-		usual   rates.Decayed
-		lately  rates.Decayed
-		regular rates.Decayed
-		asked   rates.Decayed
-		served  rates.Decayed
+		since     time.Time
+		baseline  rates.Decayed
+		recent    rates.Decayed
+		regular   rates.Decayed
+		requested rates.Decayed
+		served    rates.Decayed
 	}
 )
 
@@ -57,85 +62,88 @@
 
 func newAccount(now time.Time) account {
 	return account{
-		since: now, usual: rates.Decayed{Memory: usualMemory},
-		lately: rates.Decayed{Memory: rateMemory}, regular: rates.Decayed{Memory: rateMemory},
-		asked: rates.Decayed{Memory: shareMemory}, served: rates.Decayed{Memory: shareMemory},
+		since: now, baseline: rates.Decayed{Memory: baselineWindow},
+		recent: rates.Decayed{Memory: rateWindow}, regular: rates.Decayed{Memory: rateWindow},
+		requested: rates.Decayed{Memory: shareWindow}, served: rates.Decayed{Memory: shareWindow},
 	}
 }
 
-// asked counts a request of an account, and reports whether it is excess: more
-// than a multiple of the account's usual, beyond what the others' requests have
-// grown by, unless the account is served much less often than all.
+// countRequest counts a request of an account, and reports whether it is excess:
+// above a multiple of the account's usual number, scaled by the growth of the others'
+// requests, unless the account is served much less often than all.
 //
-// Where places are short, they go to who asks. One account that asks for many
-// times its usual would get most of them, and the others' callers be refused for
-// it. What it asks beyond its measure goes behind all others.
-func (a *accounts) asked(now time.Time, name string) bool {
+// Without this, scarce places would go to whoever sends the most requests. One
+// account that sends many times its usual number would get most of them, and the
+// callers of the others would be refused. Its excess therefore comes after all other
+// requests.
+func (a *accounts) countRequest(now time.Time, name string) bool {
 	if name == "" {
 		return false
 	}
 	one := a.byName[name]
 	if one == nil {
-		a.forget(now)
-		first := newAccount(now)
-		one = &first
+		a.evict(now)
+		added := newAccount(now)
+		one = &added
 		a.byName[name] = one
 	}
 	if a.all.since.IsZero() {
 		a.all.since = now
 	}
-	measure := one.expected(now) * a.growth(one, now)
-	usual := one.lately.Get(now) < usualFactor*measure+surgeSlack
-	excess := one.regular.Get(now) >= surgeFactor*measure+surgeSlack && one.share(now) >= floorShare*a.all.share(now)
+	expected := one.expected(now) * a.growth(one, now)
+	learn := one.recent.Get(now) < baselineFactor*expected+surgeSlack
+	excess := one.regular.Get(now) >= surgeFactor*expected+surgeSlack && one.servedShare(now) >= minServedRatio*a.all.servedShare(now)
 	for _, c := range []*account{one, &a.all} {
-		c.add(now, usual, excess)
+		c.add(now, learn, excess)
 	}
 	return excess
 }
 
-// served counts a request of an account that got a place.
-func (a *accounts) served(now time.Time, name string) {
+// countServed counts a request of an account that got a place.
+func (a *accounts) countServed(now time.Time, name string) {
 	if one := a.byName[name]; one != nil {
 		one.served.Add(now)
 		a.all.served.Add(now)
 	}
 }
 
-func (a *account) add(now time.Time, usual, excess bool) {
-	a.asked.Add(now)
-	a.lately.Add(now)
-	if usual {
-		a.usual.Add(now)
+func (a *account) add(now time.Time, learn, excess bool) {
+	a.requested.Add(now)
+	a.recent.Add(now)
+	if learn {
+		a.baseline.Add(now)
 	}
 	if !excess {
 		a.regular.Add(now)
 	}
 }
 
-// share is the part of the account's requests that were served lately.
-func (a *account) share(now time.Time) float64 { return a.served.Get(now) / max(a.asked.Get(now), 1) }
+// servedShare is the fraction of the account's recent requests that were served.
+func (a *account) servedShare(now time.Time) float64 {
+	return a.served.Get(now) / max(a.requested.Get(now), 1)
+}
 
-// expected is how many requests of the account would come in rateMemory as a
-// rule. Of usualMemory, only what has passed since its first one counts.
+// expected is the usual number of the account's requests in rateWindow. Of
+// baselineWindow, only the time since the account's first request counts.
 func (a *account) expected(now time.Time) float64 {
-	const part = float64(rateMemory) / float64(usualMemory)
-	known := 1 - math.Exp(-float64(now.Sub(a.since))/float64(usualMemory))
-	return a.usual.Get(now) * part / max(known, part)
+	const part = float64(rateWindow) / float64(baselineWindow)
+	observed := 1 - math.Exp(-float64(now.Sub(a.since))/float64(baselineWindow))
+	return a.baseline.Get(now) * part / max(observed, part)
 }
 
-// growth is how many times their usual the other accounts ask for, 1 at least,
-// and alone where there is no other.
-func (a *accounts) growth(but *account, now time.Time) float64 {
-	usual := a.all.expected(now) - but.expected(now)
-	if usual <= 0 {
-		return alone
+// growth is the ratio of the other accounts' recent requests to their usual number,
+// at least 1; unboundedGrowth if there are no others.
+func (a *accounts) growth(except *account, now time.Time) float64 {
+	others := a.all.expected(now) - except.expected(now)
+	if others <= 0 {
+		return unboundedGrowth
 	}
-	return max((a.all.lately.Get(now)-but.lately.Get(now))/usual, 1)
+	return max((a.all.recent.Get(now)-except.recent.Get(now))/others, 1)
 }
 
-func (a *accounts) forget(now time.Time) {
+func (a *accounts) evict(now time.Time) {
 	if len(a.byName) < maxAccounts {
 		return
 	}
-	maps.DeleteFunc(a.byName, func(_ string, c *account) bool { return c.usual.Get(now) < asksForgotten })
+	maps.DeleteFunc(a.byName, func(_ string, c *account) bool { return c.baseline.Get(now) < negligibleRequests })
 }
--- a/internal/admission/accounts_test.go
+++ b/internal/admission/accounts_test.go
@@ -10,13 +10,13 @@
 	"bulrushhinge.example/bulrushhinge/internal/admission"
 )
 
-// of is a load of a client account.
+// of returns the load as that of a client account.
 func of(client string, l load) load {
 	l.request.Client = client
 	return l
 }
 
-// surge is a rate that is many times its usual for seven seconds.
+// surge returns a rate that rises to a multiple of its usual value for seven seconds.
 func surge(usual, times float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= 10*time.Second && at < 17*time.Second {
@@ -26,16 +26,16 @@
 	}
 }
 
-// Guards against this failure: callers of all client accounts are refused while one account
-// sends many times its usual.
-func TestSurgeOfOneAccountIsPaidForByIt(t *testing.T) {
+// Guards against refusals for the callers of all client accounts while one account
+// sends many times its usual number of requests.
+func TestSurgingAccountBearsItsOwnRefusals(t *testing.T) {
 	cases := []struct {
 		name   string
 		nodes  int
 		places int
 		kinds  []load
-		// others is the least share of the other accounts' requests that is
-		// served, and surging that of the account whose surge it is.
+		// others is the least served share of the other accounts, surging that of the
+		// account that surges.
 		others, surging float64
 	}{
 		{
@@ -47,7 +47,8 @@
 			kinds: []load{of("a", urgent(steady(30))), of("b", long(steady(20))), of("c", urgent(surge(25, 5)))},
 		},
 		{
-			// It is served at least half as often as all: the others pay for that.
+			// The surging account is served at least half as often as all, at the
+			// expense of the others.
 			name: "a small one, a hundred times its usual", nodes: 9, places: 200, others: 0.6, surging: 0.5,
 			kinds: []load{of("a", urgent(steady(60))), of("b", long(steady(30))), of("c", urgent(surge(1, 100)))},
 		},
@@ -69,8 +70,9 @@
 	}
 }
 
-// What all accounts ask for more is nobody's excess, nor is what comes by chance.
-func TestWhatAllAskForMoreIsNoExcess(t *testing.T) {
+// Growth that all accounts share is no account's excess, and neither is random
+// variation.
+func TestGrowthOfAllAccountsIsNoExcess(t *testing.T) {
 	cases := []struct {
 		name  string
 		loads []load
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides who waits for a place where a service's places are
-// short, in which order, and who is refused at once. It needs no network: events
-// come with their time, and decisions go out.
+// Package admission decides which requests wait for a place when a service's places
+// are scarce, in which order, and which are refused at once. It needs no network:
+// callers pass in events with their time, and act on the decisions.
 package admission
 
 import (
@@ -15,129 +15,132 @@
 )
 
 const (
-	// patienceShare is the part of the time in which an answer can still begin
-	// as wanted that a request may be expected to wait. Waits vary by as much as
-	// they last.
-	patienceShare = 0.25
-	// leastWait is the part of the latency objective that the first of its kind
-	// may wait though nobody can say for how long, so that no place stays free,
-	// and minWait bounds it from below: two rounds of offers.
-	leastWait = 0.125
-	minWait   = 2 * offerGap
-	// rateMemory is the time over which rates are averaged: long against the time
-	// between two places, short against a burst.
-	rateMemory = 2 * time.Second
-	// shareMemory is the same for the served shares of kinds. A node sees a few
-	// requests of a kind in a second; over two seconds their shares differ by a
-	// tenth by chance alone.
-	shareMemory = 8 * time.Second
-	// rankStep is by how much the served share of a kind may be behind that of
-	// one that is a rank more urgent, before it goes first.
-	rankStep = 0.03
-	// accountStep is the same for the rank of a client account: it outweighs the
-	// ranks that kinds have.
-	accountStep = 3 * rankStep
-	// excessStep is the same for what is an account's excess: it outweighs all
-	// ranks and shares.
-	excessStep = 1000
-	// evenness is how far a kind's served share may be ahead of another's before
-	// it lets others look for places first.
-	evenness = 0.1
-	// shortage is how many requests of a kind must lately have been refused, over
-	// rateMemory, for its places to be short: one in the last two seconds.
-	shortage = 0.3
-	// noneFor is how long it counts that a place was looked for in vain. Rates
-	// are low also where few ask; where none looked in vain, a place is there.
-	noneFor = 100 * time.Millisecond
-	// offerGap is the shortest time between two rounds of offers: a round looks
-	// at all engines for each request that waits.
-	offerGap = 5 * time.Millisecond
-	// roundLength bounds the requests that look for a place in one round.
-	roundLength = 16
-	// maxKinds is from how many kinds on those are forgotten that nobody has
-	// asked for lately: operators replace routes all the time, and every request
-	// that arrives looks at all kinds.
+	// waitShare is the fraction of the time left for the answer to begin within the
+	// objective that a request may be expected to wait. Waiting times vary by as much
+	// as their mean.
+	waitShare = 0.25
+	// minWaitShare is the fraction of the latency objective for which the first
+	// request of its kind may wait though its waiting time is unknown, so that no
+	// place stays free. minWait is its lower bound: two rounds.
+	minWaitShare = 0.125
+	minWait      = 2 * roundInterval
+	// rateWindow is the time over which rates are averaged: long compared with the
+	// time between two places, short compared with a burst.
+	rateWindow = 2 * time.Second
+	// shareWindow is the same for the served shares of kinds. A node sees a few
+	// requests of a kind a second; over two seconds, random variation alone makes
+	// their shares differ by a tenth.
+	shareWindow = 8 * time.Second
+	// priorityStep is how far the served share of a kind may be behind that of a kind
+	// one priority more urgent before it goes first.
+	priorityStep = 0.03
+	// accountPriorityStep is the same for the priority of a client account: it
+	// outweighs the priorities of kinds.
+	accountPriorityStep = 3 * priorityStep
+	// excessPenalty is the same for an account's excess: it outweighs all priorities
+	// and shares.
+	excessPenalty = 1000
+	// shareTolerance is how far a kind's served share may be ahead of another's
+	// before it lets others look for places first.
+	shareTolerance = 0.1
+	// minRefused is the number of recently refused requests of a kind, over
+	// rateWindow, from which its places are scarce: one in the last two seconds.
+	minRefused = 0.3
+	// noPlaceFor is how long a failed search for a place counts as a sign of
+	// scarcity. A low rate of places is no such sign, as few requests may arrive; and
+	// as long as no search fails, there is a place.
+	noPlaceFor = 100 * time.Millisecond
+	// roundInterval is the shortest time between two rounds: a round looks at all
+	// engines for each waiting request.
+	roundInterval = 5 * time.Millisecond
+	// roundSize bounds the number of requests that look for a place in one round.
+	roundSize = 16
+	// maxKinds is the number of kinds from which idle ones are evicted: operators
+	// replace routes all the time, and every arriving request looks at all kinds.
 	maxKinds = 256
-	// asksForgotten is how few requests, over shareMemory, count as none.
-	asksForgotten = 0.01
+	// negligibleRequests is the number of requests below which a kind, over
+	// shareWindow, or an account, over baselineWindow, is idle.
+	negligibleRequests = 0.01
 )
 
 type (
-	// Request is what the order depends on.
+	// Request holds what a request's position in the queue depends on.
 	Request struct {
-		// Kind is what shares places on equal terms: the route.
+		// Kind names the requests that compete for places on equal terms: the route.
 		Kind string
-		// Priority is the kind's rank; 0 is the most urgent.
+		// Priority is the kind's priority; 0 is the most urgent.
 		Priority int
-		// Account is the rank of the request's client account, which goes before
+		// Account is the priority of the request's client account, which outweighs
 		// the kind's.
 		Account int
-		// Client names the account, and is empty where there is none.
+		// Client is the name of the account; empty if there is none.
 		Client string
-		// Excess says that the account asks for more than its measure, as Asked
-		// has found.
+		// Excess reports whether Asked has counted the request as its account's
+		// excess.
 		Excess bool
-		// Objective is when the answer should begin, from the request's arrival.
+		// Objective is the time from the request's arrival within which the answer
+		// should begin.
 		Objective time.Duration
 	}
 
-	// Queue is the requests of one service that wait at this node. It is safe
-	// for concurrent use.
+	// Queue holds the requests of one service that wait at this node. It is safe for
+	// concurrent use.
 	Queue struct {
 		mu    sync.Mutex
 		kinds map[string]*kind
 		// accounts are the client accounts.
 		accounts *accounts
-		// waiting are all, by arrival.
+		// waiting are all requests, by arrival.
 		waiting []*Waiter
-		// round are those that have yet to look for a place in this round.
-		round   []*Waiter
-		offered time.Time
-		// none is when a request last looked for a place and found none.
-		none time.Time
+		// round are the requests that have yet to look for a place in this round.
+		round     []*Waiter
+		lastRound time.Time
+		// lastNoPlace is when a request last looked for a place and found none.
+		lastNoPlace time.Time
 	}
 
-	// Waiter is one request that waits.
+	// Waiter is a waiting request.
 	Waiter struct {
 		kind    *kind
 		account int
 		excess  bool
-		// from is when the request may have its first turn.
-		from  time.Time
-		until time.Time
-		turn  chan struct{}
+		// notBefore is when the request may have its first turn.
+		notBefore time.Time
+		until     time.Time
+		turn      chan struct{}
 	}
 
-	// kind is what is known of one kind of request.
+	// kind is the state of one kind of request.
 	kind struct {
 		priority int
 		waiting  int
-		// excess are those of waiting that are their accounts' excess.
+		// excess is the number of those in waiting that are their accounts' excess.
 		excess int
-		// asked and served are over shareMemory, got and refused over rateMemory.
-		asked   rates.Decayed
-		served  rates.Decayed
-		got     rates.Decayed
-		refused rates.Decayed
-		// first is how long answers take to begin once they have a place.
-		first time.Duration
+		// requested and served are over shareWindow, placed and refused over
+		// rateWindow.
+		requested rates.Decayed
+		served    rates.Decayed
+		placed    rates.Decayed
+		refused   rates.Decayed
+		// startLatency is the mean time from the place to the first byte of the
+		// answer.
+		startLatency time.Duration
 	}
 )
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{kinds: map[string]*kind{}, accounts: newAccounts()} }
 
-// Asked counts a request that arrives, and reports whether it is its account's
-// excess.
+// Asked counts an arriving request, and reports whether it is its account's excess.
 func (q *Queue) Asked(now time.Time, r Request) (excess bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.kinds) >= maxKinds {
-		q.forget(now)
+		q.evict(now)
 	}
 	k := q.kind(r)
-	if excess = q.accounts.asked(now, r.Client); !excess {
-		k.asked.Add(now)
+	if excess = q.accounts.countRequest(now, r.Client); !excess {
+		k.requested.Add(now)
 	}
 	return excess
 }
@@ -147,32 +150,32 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	k := q.kind(r)
-	k.got.Add(now)
-	q.accounts.served(now, r.Client)
+	k.placed.Add(now)
+	q.accounts.countServed(now, r.Client)
 	if !r.Excess {
 		k.served.Add(now)
 	}
 }
 
-// Began learns how long an answer took to begin once its request had a place.
+// Began records how long an answer took to begin once its request had a place.
 func (q *Queue) Began(r Request, first time.Duration) {
-	const learning = 0.05
+	const sampleWeight = 0.05
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	k := q.kind(r)
-	if k.first == 0 {
-		k.first = first
+	if k.startLatency == 0 {
+		k.startLatency = first
 	}
-	k.first += time.Duration(learning * float64(first-k.first))
+	k.startLatency += time.Duration(sampleWeight * float64(first-k.startLatency))
 }
 
-// Free reports whether a request may look for a place as it arrives: nobody
-// waits, its kind is not ahead of others, and it is no excess while places are
-// short.
+// Free reports whether an arriving request may look for a place at once: no request
+// waits, its kind is not served more than others, and it is no excess while places
+// are scarce.
 func (q *Queue) Free(now time.Time, r Request) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.waiting) == 0 && !q.ahead(q.kind(r), now) && !(r.Excess && q.yields(now))
+	return len(q.waiting) == 0 && !q.overserved(q.kind(r), now) && !(r.Excess && q.rejectsExcess(now))
 }
 
 // Refused counts a request that got no place.
@@ -184,109 +187,111 @@
 	}
 }
 
-// Join lets a request wait, or returns nil if no place will come in time: then
-// it is refused at once.
+// Join adds a request to the queue. It returns nil if no place will be free in time:
+// the request is then to be refused at once.
 func (q *Queue) Join(now time.Time, r Request) *Waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	k := q.kind(r)
-	// What can still begin as wanted may wait, but only in part.
-	left := r.Objective - k.first
-	least := max(time.Duration(leastWait*float64(r.Objective)), minWait)
-	if r.Excess && q.yields(now) {
+	// A request that can still begin within its objective may wait, but only for part
+	// of the time left.
+	left := r.Objective - k.startLatency
+	minimum := max(time.Duration(minWaitShare*float64(r.Objective)), minWait)
+	if r.Excess && q.rejectsExcess(now) {
 		return nil
 	}
-	before := k.before(r)
-	if q.expected(k, before, now) > time.Duration(patienceShare*float64(left)) {
-		if before > 0 && q.short(now) {
+	ahead := k.queuedAhead(r)
+	if q.expectedWait(k, ahead, now) > time.Duration(waitShare*float64(left)) {
+		if ahead > 0 && q.scarce(now) {
 			return nil
 		}
-		left = least
+		left = minimum
 	}
-	w := &Waiter{kind: k, account: r.Account, excess: r.Excess, from: now, until: now.Add(max(left, least)), turn: make(chan struct{}, 1)}
-	if q.ahead(k, now) {
-		w.from = now.Add(least / 2)
+	w := &Waiter{kind: k, account: r.Account, excess: r.Excess, notBefore: now, until: now.Add(max(left, minimum)), turn: make(chan struct{}, 1)}
+	if q.overserved(k, now) {
+		w.notBefore = now.Add(minimum / 2)
 	}
-	k.count(w, 1)
+	k.addWaiting(w, 1)
 	q.waiting = append(q.waiting, w)
 	return w
 }
 
-// Leave ends a request's waiting.
+// Leave removes a request from the queue.
 func (q *Queue) Leave(w *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	w.kind.count(w, -1)
+	w.kind.addWaiting(w, -1)
 	q.waiting = slices.DeleteFunc(q.waiting, func(o *Waiter) bool { return o == w })
 	q.round = slices.DeleteFunc(q.round, func(o *Waiter) bool { return o == w })
 }
 
-// short reports whether a place was looked for in vain just now.
-func (q *Queue) short(now time.Time) bool { return now.Sub(q.none) < noneFor }
+// scarce reports whether a search for a place has just failed.
+func (q *Queue) scarce(now time.Time) bool { return now.Sub(q.lastNoPlace) < noPlaceFor }
 
-// yields reports whether an account's excess gets no place now: others have
-// lately been refused for want of one, and there is none. Where it only comes a
-// little late to others, their places are worth more to whoever takes them.
-func (q *Queue) yields(now time.Time) bool {
-	if !q.short(now) {
+// rejectsExcess reports whether an account's excess gets no place now: no place is
+// free, and other requests were recently refused for that reason. If the others only
+// wait a little longer for a place, it is of more use to whoever takes it.
+func (q *Queue) rejectsExcess(now time.Time) bool {
+	if !q.scarce(now) {
 		return false
 	}
 	for _, k := range q.kinds {
-		if k.refused.Get(now) >= shortage {
+		if k.refused.Get(now) >= minRefused {
 			return true
 		}
 	}
 	return false
 }
 
-// Offer starts a round: a place may have come free. The first in the order looks
-// for one, then the next.
+// Offer starts a round, as a place may have become free. The first request in the
+// order looks for one, then the next.
 func (q *Queue) Offer(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) == 0 || now.Sub(q.offered) < offerGap {
+	if len(q.waiting) == 0 || now.Sub(q.lastRound) < roundInterval {
 		return
 	}
-	q.offered = now
+	q.lastRound = now
 	q.round = q.ordered(now)
-	q.next()
+	q.signalNext()
 }
 
-// None notes that a request has looked for a place and found none.
+// None records that a request has looked for a place and found none.
 func (q *Queue) None(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.none = now
+	q.lastNoPlace = now
 }
 
-// Pass hands the turn on after a request has looked for a place.
+// Pass gives the turn to the next request of the round, after one has looked for a
+// place.
 func (q *Queue) Pass() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.next()
+	q.signalNext()
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting)
 }
 
-// Kinds returns how many kinds of request are known.
+// Kinds returns the number of known kinds of request.
 func (q *Queue) Kinds() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.kinds)
 }
 
-// Turn tells when the request may look for a place.
+// Turn returns a channel that receives when the request may look for a place.
 func (w *Waiter) Turn() <-chan struct{} { return w.turn }
 
 // Until is when the request gives up.
 func (w *Waiter) Until() time.Time { return w.until }
 
-func (q *Queue) next() {
+func (q *Queue) signalNext() {
 	if len(q.round) == 0 {
 		return
 	}
@@ -298,86 +303,86 @@
 	}
 }
 
-// before is how many of the kind that wait go before a request.
-func (k *kind) before(r Request) int {
+// queuedAhead is the number of waiting requests of the kind that precede a request.
+func (k *kind) queuedAhead(r Request) int {
 	if r.Excess {
 		return k.waiting
 	}
 	return k.waiting - k.excess
 }
 
-func (k *kind) count(w *Waiter, n int) {
+func (k *kind) addWaiting(w *Waiter, n int) {
 	k.waiting += n
 	if w.excess {
 		k.excess += n
 	}
 }
 
-// expected is how long a request of a kind would wait behind some others.
-func (q *Queue) expected(k *kind, before int, now time.Time) time.Duration {
-	places := k.got.Get(now)
-	if places <= 0 {
+// expectedWait is the time that a request of a kind would wait behind some others.
+func (q *Queue) expectedWait(k *kind, ahead int, now time.Time) time.Duration {
+	rate := k.placed.Get(now)
+	if rate <= 0 {
 		return math.MaxInt64
 	}
-	return time.Duration(float64(before+1) / places * float64(rateMemory))
+	return time.Duration(float64(ahead+1) / rate * float64(rateWindow))
 }
 
-// ahead reports whether a larger share of a kind was served than of another that
-// is being refused.
+// overserved reports whether a larger share of a kind was served than of another kind
+// that is being refused.
 //
-// Kinds that may begin later wait for longer, and there is nearly always one of
-// them to take the next place. A larger share of them would be served than of the
-// urgent, which have given up.
-func (q *Queue) ahead(k *kind, now time.Time) bool {
-	own := k.share(now)
+// Kinds with longer objectives wait longer, and one of them is nearly always there to
+// take the next place. Without this, a larger share of them would be served than of
+// the urgent kinds, which have given up by then.
+func (q *Queue) overserved(k *kind, now time.Time) bool {
+	own := k.weightedShare(now)
 	for _, o := range q.kinds {
-		if o != k && o.refused.Get(now) >= shortage && o.share(now) < own-evenness {
+		if o != k && o.refused.Get(now) >= minRefused && o.weightedShare(now) < own-shareTolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// share is the part of a kind's requests that were served lately, a rank being
-// worth some parts in a hundred.
-func (k *kind) share(now time.Time) float64 {
-	return k.served.Get(now)/max(k.asked.Get(now), 1) + rankStep*float64(k.priority)
+// weightedShare is the fraction of a kind's recent requests that were served, plus
+// priorityStep for each step of its priority.
+func (k *kind) weightedShare(now time.Time) float64 {
+	return k.served.Get(now)/max(k.requested.Get(now), 1) + priorityStep*float64(k.priority)
 }
 
-// ordered returns those that wait in the order in which they get places: first
-// the kinds of which the smallest share was served, a rank being worth some
-// parts in a hundred; within a kind by arrival; what is an account's excess last.
+// ordered returns the waiting requests in the order in which they get places: the
+// kind with the smallest weighted share first, within a kind by arrival, and an
+// account's excess last.
 //
-// Were the most urgent always first, the others would starve in an overload
-// that the urgent alone fill; by arrival alone, kinds with short objectives give
+// If the most urgent kind always came first, the others would starve in an overload
+// by urgent requests alone; by arrival alone, kinds with short objectives would give
 // up while the others wait.
 func (q *Queue) ordered(now time.Time) []*Waiter {
-	list := slices.DeleteFunc(slices.Clone(q.waiting), func(w *Waiter) bool { return now.Before(w.from) })
-	share := make(map[*kind]float64, len(q.kinds))
+	list := slices.DeleteFunc(slices.Clone(q.waiting), func(w *Waiter) bool { return now.Before(w.notBefore) })
+	shares := make(map[*kind]float64, len(q.kinds))
 	for _, k := range q.kinds {
-		share[k] = k.share(now)
+		shares[k] = k.weightedShare(now)
 	}
 	slices.SortStableFunc(list, func(a, b *Waiter) int {
-		return cmp.Compare(share[a.kind]+a.behind(), share[b.kind]+b.behind())
+		return cmp.Compare(shares[a.kind]+a.penalty(), shares[b.kind]+b.penalty())
 	})
-	return list[:min(len(list), roundLength)]
+	return list[:min(len(list), roundSize)]
 }
 
-// behind is how far behind others of its kind a request is, in parts of a served
+// penalty is how far a request is put behind others of its kind, in units of a served
 // share.
-func (w *Waiter) behind() float64 {
+func (w *Waiter) penalty() float64 {
 	if w.excess {
-		return excessStep
+		return excessPenalty
 	}
-	return accountStep * float64(w.account)
+	return accountPriorityStep * float64(w.account)
 }
 
 func (q *Queue) kind(r Request) *kind {
 	k := q.kinds[r.Kind]
 	if k == nil {
 		k = &kind{
-			asked: rates.Decayed{Memory: shareMemory}, served: rates.Decayed{Memory: shareMemory},
-			got: rates.Decayed{Memory: rateMemory}, refused: rates.Decayed{Memory: rateMemory},
+			requested: rates.Decayed{Memory: shareWindow}, served: rates.Decayed{Memory: shareWindow},
+			placed: rates.Decayed{Memory: rateWindow}, refused: rates.Decayed{Memory: rateWindow},
 		}
 		q.kinds[r.Kind] = k
 	}
@@ -385,8 +390,8 @@
 	return k
 }
 
-func (q *Queue) forget(now time.Time) {
+func (q *Queue) evict(now time.Time) {
 	maps.DeleteFunc(q.kinds, func(_ string, k *kind) bool {
-		return k.waiting == 0 && k.asked.Get(now) < asksForgotten
+		return k.waiting == 0 && k.requested.Get(now) < negligibleRequests
 	})
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -14,32 +14,31 @@
 )
 
 type (
-	// pattern is a load on some places, seen by some nodes.
+	// pattern is a load on a number of places, seen by a number of nodes.
 	pattern struct {
 		name  string
 		nodes int
-		// places returns how many there are at a time.
+		// places returns the number of places at a time.
 		places func(at time.Duration) int
 		kinds  []load
 		length time.Duration
-		// stubborn callers come back at once, again and again, when they are
-		// refused.
-		stubborn int
+		// retries is how often refused callers retry at once.
+		retries int
 	}
 
 	// load is the requests of one kind.
 	load struct {
 		request admission.Request
-		// rate is how many come in a second, at a time.
+		// rate returns the number of requests a second at a time.
 		rate func(at time.Duration) float64
-		// hold is the mean time that one has a place.
+		// hold is the mean time for which a request occupies its place.
 		hold time.Duration
 	}
 
-	// tally is what became of one kind.
+	// tally counts the outcomes of one kind.
 	tally struct {
 		asked, served, inTime, refused int
-		// waited is how long refused requests had waited, in all.
+		// waited is the total time that refused requests had waited.
 		waited time.Duration
 	}
 
@@ -52,8 +51,8 @@
 		waiter  *admission.Waiter
 	}
 
-	// model plays a pattern in virtual time: places know at once who has them,
-	// as engines do, and nodes look for them when their queues say so.
+	// model runs a pattern in virtual time: places know their requests without delay,
+	// as engines do, and nodes look for places when their queues give them a turn.
 	model struct {
 		pattern
 		random  *rand.Rand
@@ -62,10 +61,10 @@
 		ends    []time.Duration
 		waiting []*waiting
 		tallies []tally
-		// needless counts the requests that were refused while one in twenty
-		// places was free.
+		// needless counts the requests that were refused while one in twenty places
+		// was free.
 		needless int
-		// refusals are those of each second.
+		// refusals counts the refused requests by second.
 		refusals map[int]int
 	}
 )
@@ -109,7 +108,7 @@
 	m.ends = slices.DeleteFunc(m.ends, func(end time.Duration) bool { return end <= m.now })
 	for i, k := range m.kinds {
 		for range m.poisson(k.rate(m.now) * tick.Seconds()) {
-			m.arrive(m.random.IntN(m.nodes), i, m.now, m.stubborn)
+			m.arrive(m.random.IntN(m.nodes), i, m.now, m.retries)
 		}
 	}
 	if ended > len(m.ends) || m.now%(5*tick) == 0 {
@@ -123,7 +122,7 @@
 
 func (m *model) arrive(node, kind int, came time.Duration, again int) {
 	q, r, at := m.queues[node], m.kinds[kind].request, start.Add(m.now)
-	if came == m.now && again == m.stubborn {
+	if came == m.now && again == m.retries {
 		m.tallies[kind].asked++
 	}
 	r.Excess = q.Asked(at, r)
@@ -157,7 +156,7 @@
 	}
 }
 
-// turns lets those that have their turn look for a place, until no more do.
+// turns lets the requests that have their turn look for a place, until no more do.
 func (m *model) turns() {
 	for again := true; again; {
 		again = false
@@ -214,8 +213,8 @@
 
 func (t tally) share() float64 { return float64(t.served) / float64(max(t.asked, 1)) }
 
-// Patterns of the heaviest days. The bounds are about half as far again as what
-// ten seeds gave.
+// The patterns are those of the heaviest days. The bounds are about one and a half
+// times the results of ten seeds.
 func TestLoadPatterns(t *testing.T) {
 	const length = 20 * time.Second
 	between := func(from, to time.Duration, within, outside float64) func(time.Duration) float64 {
@@ -229,19 +228,19 @@
 	mixed := []load{urgent(steady(110)), long(steady(60)), short(steady(100))}
 	cases := []struct {
 		pattern
-		// inTime is the least share of the served whose places came in time, and
-		// even the greatest distance between two kinds' served shares.
+		// inTime is the least share of the served requests that got their place in
+		// time, even the greatest difference between the served shares of two kinds.
 		inTime, even float64
-		// calm is a second from which on nobody may be refused; 0 for none.
+		// calm is the second from which no request may be refused; 0 for none.
 		calm int
 	}{
 		{
-			// Callers ask for over twice what the places can do, all the time.
+			// The load is more than twice what the places sustain, all the time.
 			pattern: pattern{name: "steady overload", nodes: 9, places: fixedPlaces(126), kinds: mixed, length: length},
 			inTime:  0.98, even: 0.2,
 		},
 		{
-			// The same seen by one node, and by so many that each has one place: a
+			// The same, seen by one node, and by so many that each has one place: a
 			// node that sees one request a second knows little of shares.
 			pattern: pattern{name: "steady overload, one node", nodes: 1, places: fixedPlaces(126), kinds: mixed, length: length},
 			inTime:  0.98, even: 0.1,
@@ -251,18 +250,18 @@
 			inTime:  0.98, even: 0.5,
 		},
 		{
-			// Many callers come at once for three seconds.
+			// Many requests arrive within three seconds.
 			pattern: pattern{name: "burst", nodes: 9, places: fixedPlaces(300), kinds: []load{urgent(between(5*time.Second, 8*time.Second, 250, 60)), long(steady(50))}, length: length},
 			inTime:  0.98, even: 0.25, calm: 10,
 		},
 		{
-			// One kind asks for many times its usual; the other is as ever.
+			// One kind sends many times its usual number; the other is unchanged.
 			pattern: pattern{name: "surge of one kind", nodes: 9, places: fixedPlaces(126), kinds: []load{urgent(steady(20)), long(between(5*time.Second, 12*time.Second, 150, 15))}, length: length},
 			inTime:  0.98, even: 0.3, calm: 14,
 		},
 		{
 			// Half of the engines are gone for five seconds.
-			pattern: pattern{name: "engines that halve", nodes: 9, places: func(at time.Duration) int {
+			pattern: pattern{name: "half of the engines gone", nodes: 9, places: func(at time.Duration) int {
 				if at >= 5*time.Second && at < 10*time.Second {
 					return 90
 				}
@@ -271,8 +270,8 @@
 			inTime: 0.98, even: 0.1, calm: 12,
 		},
 		{
-			// Refused callers repeat at once, three times.
-			pattern: pattern{name: "callers that repeat at once", nodes: 9, places: fixedPlaces(126), kinds: mixed, length: length, stubborn: 3},
+			// Refused callers retry at once, three times.
+			pattern: pattern{name: "callers that retry at once", nodes: 9, places: fixedPlaces(126), kinds: mixed, length: length, retries: 3},
 			inTime:  0.98, even: 0.25,
 		},
 	}
@@ -298,7 +297,7 @@
 	}
 }
 
-// Guards against this failure: requests are held for most of their objective and refused then.
+// Guards against requests that wait for most of their objective and are refused then.
 func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
 	m := play(pattern{nodes: 9, places: fixedPlaces(126), kinds: []load{urgent(steady(110)), long(steady(80))}, length: 20 * time.Second}, 3)
 	for i, k := range m.tallies {
@@ -307,16 +306,18 @@
 	}
 }
 
-// Guards against this failure: the urgent are refused while others are served.
+// Guards against urgent requests that are refused while others are served.
 func TestUrgentRequestsAreServedAtLeastAsOften(t *testing.T) {
 	m := play(pattern{nodes: 9, places: fixedPlaces(126), kinds: []load{urgent(steady(110)), long(steady(60))}, length: 20 * time.Second}, 5)
-	// Shares are kept even up to a tenth, and nodes see a part of the load each.
+	// Served shares are balanced within a tenth, and each node sees only part of the
+	// load.
 	require.Greater(t, m.tallies[0].share(), m.tallies[1].share()-0.15)
-	// Nor do the others starve.
+	// The others do not starve either.
 	require.Greater(t, m.tallies[1].share(), 0.25*m.tallies[0].share())
 }
 
-// Whoever waits gets a turn in every round, each once, and nobody who has left.
+// Each waiting request gets one turn in every round, up to the size of a round, and
+// none after it has left.
 func TestRounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := admission.NewQueue(), start
@@ -358,8 +359,8 @@
 	})
 }
 
-// Guards against this failure: requests of an account that goes first wait behind others.
-func TestAccountsRankGoesBeforeTheKinds(t *testing.T) {
+// Guards against requests of an account with priority that wait behind others.
+func TestAccountPriorityOutweighsKindPriority(t *testing.T) {
 	q := admission.NewQueue()
 	usual := admission.Request{Kind: "urgent", Account: 1, Objective: time.Second}
 	first := admission.Request{Kind: "later", Priority: 2, Objective: time.Second}
@@ -372,9 +373,9 @@
 	require.Len(t, a.Turn(), 1)
 }
 
-// A request joins where nothing is known yet, so that no place stays free after
-// a start, but does not wait for long.
-func TestFirstOfItsKindWaitsAlsoWhereNothingIsKnown(t *testing.T) {
+// A request may wait before any rate is known, so that no place stays free after a
+// start, but not for long.
+func TestFirstOfItsKindWaitsWithoutKnownRates(t *testing.T) {
 	q := admission.NewQueue()
 	r := admission.Request{Kind: "a", Objective: 800 * time.Millisecond}
 	w := q.Join(start, r)
@@ -384,9 +385,9 @@
 	require.Nil(t, q.Join(start, r))
 }
 
-// Guards against this failure: a node that has run for days grows, and takes longer for each
-// request.
-func TestKindsThatNobodyAsksForAreForgotten(t *testing.T) {
+// Guards against a node that uses more memory, and more time for each request, the
+// longer it runs: replaced routes leave their kinds behind.
+func TestIdleKindsAreEvicted(t *testing.T) {
 	q, now := admission.NewQueue(), start
 	for i := range 100_000 {
 		now = now.Add(100 * time.Millisecond)
@@ -395,7 +396,7 @@
 	require.LessOrEqual(t, q.Kinds(), 1000)
 }
 
-// A request without an objective is given a few looks all the same.
+// A request without an objective may still wait for a few rounds.
 func TestRequestWithoutAnObjectiveWaitsALittle(t *testing.T) {
 	w := admission.NewQueue().Join(start, admission.Request{Kind: "a"})
 	require.NotNil(t, w)
