--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -12,7 +12,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// dispatch takes a plan through its permit to the next run.
+// dispatch grants the plan's permit request and returns the step after it.
 func dispatch(t *testing.T, p *route.Plan, now time.Time, v *kernel.View) route.Step {
 	t.Helper()
 	require.Equal(t, route.StepAsk, p.Next(now, v).Kind)
@@ -20,7 +20,8 @@
 	return p.Next(now, v)
 }
 
-// Guards against this failure: a request fails although other endpoints could answer it.
+// Guards against a request that fails although other endpoints could answer it:
+// attempts that certainly did not run must not use up its attempts.
 func TestOnlyAttemptsThatMayHaveRunCount(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	pool := &kernel.Pool{Service: manifest.Service{Name: "s"}, Bound: 2, Live: 8}
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -17,23 +17,23 @@
 )
 
 type (
-	// CostConfig is the settings of a cost ranker.
+	// CostConfig is the configuration of a cost ranker.
 	CostConfig struct {
-		// Weight is how many tokens of prefill an endpoint at the mean load is
-		// worth to avoid.
+		// Weight is the cost of the load of an endpoint at its bound, in tokens of
+		// prefill.
 		Weight float64
-		// Power is how steeply the cost of load rises towards the bound.
+		// Power is the exponent with which the cost of load rises towards the bound.
 		Power float64
-		// Choices is how many endpoints of the chat's rendezvous order are
-		// weighed first where none is known to hold the chat.
+		// Choices is the number of endpoints of the chat's rendezvous order that are
+		// considered first if none is known to hold the chat.
 		Choices int
 	}
 
 	costRanker struct{ config CostConfig }
 
-	// costed is an endpoint and what it would cost to run a request there.
+	// costed is an endpoint and the cost of running a request there.
 	costed struct {
-		place int
+		index int
 		group int
 		cost  float64
 		score uint64
@@ -47,14 +47,13 @@
 	groupSuspect
 )
 
-// NewCostRanker returns the Ranker that takes the endpoint with the least cost:
-// the uncached part of the prompt, in tokens, or what it costs to import it
-// from the endpoint that holds it, and the wait that the endpoint's
-// load makes likely.
+// NewCostRanker returns the Ranker that prefers the endpoint with the least cost: the
+// uncached part of the prompt, in tokens, or the cost of importing it from the
+// endpoint that holds it, plus the probable wait at the endpoint's load.
 //
-// The load counts by the square of its ratio to the mean. An endpoint near the
-// bound is so left to the requests that save most there, while others go where
-// there is room, before the bound denies them.
+// The cost of load is a power, the fourth by default, of its ratio to the bound. An
+// endpoint near the bound is thus left to the requests that save most there, and
+// others go where there is room before the bound denies them.
 func NewCostRanker(c CostConfig) Ranker {
 	c.Weight = cmp.Or(c.Weight, DefaultWeight)
 	c.Power = cmp.Or(c.Power, DefaultPower)
@@ -69,7 +68,7 @@
 	for _, i := range Candidates(pool) {
 		list = append(list, r.cost(pool, i, req, holder))
 	}
-	r.limit(list, req)
+	r.preferChoices(list, req)
 	slices.SortFunc(list, func(a, b costed) int {
 		return cmp.Or(
 			cmp.Compare(a.group, b.group),
@@ -79,15 +78,15 @@
 	})
 	order := make([]int, len(list))
 	for i, c := range list {
-		order[i] = c.place
+		order[i] = c.index
 	}
 	return order
 }
 
-func (r costRanker) cost(pool *kernel.Pool, place int, req Request, holder *kernel.Endpoint) costed {
-	e := &pool.Endpoints[place]
-	c := costed{place: place, score: kernel.Score(req.Chat, e.Name)}
-	c.cost = uncached(req, e, holder)
+func (r costRanker) cost(pool *kernel.Pool, index int, req Request, holder *kernel.Endpoint) costed {
+	e := &pool.Endpoints[index]
+	c := costed{index: index, score: kernel.Score(req.Chat, e.Name)}
+	c.cost = prefillCost(req, e, holder)
 	mean := float64(pool.Total.Requests+1) / float64(max(pool.Live, 1))
 	ratio := float64(e.Load.Requests) / (mean * pool.Bound)
 	if ratio > 0 {
@@ -99,13 +98,13 @@
 	return c
 }
 
-// limit puts the first endpoints of the rendezvous order before others, where
+// preferChoices puts the first endpoints of the rendezvous order before the others if
 // no endpoint holds the chat.
 //
-// All nodes see the same lagging loads. Were each to take the least loaded of
-// all endpoints, all would take the same one until the loads change, and it
-// would be flooded; each chat therefore looks at a few endpoints of its own.
-func (r costRanker) limit(list []costed, req Request) {
+// All nodes see the same stale loads. If each took the least loaded of all endpoints,
+// all would take the same one until the loads change, and overload it. Each chat
+// therefore considers a few endpoints of its own.
+func (r costRanker) preferChoices(list []costed, req Request) {
 	if len(req.Cached) > 0 || len(list) <= r.config.Choices {
 		return
 	}
--- a/internal/route/estimate.go
+++ b/internal/route/estimate.go
@@ -3,28 +3,28 @@
 import "math/bits"
 
 const (
-	// learnShare is the weight of the newest answer in an estimate.
-	learnShare = 0.1
-	// maxEstimates bounds the classes of requests that are told apart.
-	maxEstimates = 1 << 12
+	// sampleWeight is the weight of the newest answer in an estimate.
+	sampleWeight = 0.1
+	// maxClasses bounds the number of request classes.
+	maxClasses = 1 << 12
 )
 
 type (
-	// class is the requests whose answers are taken to be about as long.
+	// class identifies the requests whose answers are assumed to be equally long.
 	class struct {
 		account string
 		model   string
-		// input and output are the magnitudes of the prompt and of the longest
-		// answer that the caller allows.
+		// input and output are the magnitudes (bit lengths) of the prompt and of the
+		// longest answer that the caller allows.
 		input  int
 		output int
 	}
 
 	// estimates holds the mean length of answers by class.
 	//
-	// Callers allow far longer answers than they get. Were that counted as
-	// load, endpoints would seem full of work that never comes, and the ones
-	// with the longest limits would look the fullest.
+	// Callers allow far longer answers than they get. If the allowed length counted
+	// as load, endpoints would seem full of work that never arrives, most of all
+	// those whose requests have the highest limits.
 	estimates struct {
 		means map[class]float64
 	}
@@ -36,7 +36,7 @@
 	return class{account: r.Account, model: r.Model, input: bits.Len(uint(r.Input)), output: bits.Len(uint(r.Output))}
 }
 
-// output is how long the answer to a request will probably be, in tokens.
+// output is the estimated length of the answer to a request, in tokens.
 func (e *estimates) output(r Request) int {
 	if mean, ok := e.means[classOf(r)]; ok {
 		return min(int(mean), r.Output)
@@ -44,15 +44,15 @@
 	return r.Output
 }
 
-// learn notes how long an answer was.
+// learn records the length of an answer.
 func (e *estimates) learn(r Request, output int) {
 	c := classOf(r)
 	mean, known := e.means[c]
 	if !known {
-		if len(e.means) >= maxEstimates {
+		if len(e.means) >= maxClasses {
 			clear(e.means)
 		}
 		mean = float64(output)
 	}
-	e.means[c] = mean + learnShare*(float64(output)-mean)
+	e.means[c] = mean + sampleWeight*(float64(output)-mean)
 }
--- a/internal/route/memory.go
+++ b/internal/route/memory.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// DefaultMemory is how many chats a node remembers.
+// DefaultMemory is the default number of chats that a node remembers.
 const DefaultMemory = 1 << 14
 
 type (
-	// memory holds where recent chats ran. It keeps two generations; when the
-	// young one is full it becomes the old one, and what was old is forgotten.
-	// It so takes a bounded space and no time to evict.
-	memory struct {
+	// chatCache holds where recent chats ran. It keeps two generations: when the
+	// young one is full, it replaces the old one, whose chats are dropped. This
+	// bounds the memory, and eviction takes no time.
+	chatCache struct {
 		limit      int
-		young, old map[string]place
+		young, old map[string]location
 	}
 
-	// place is an endpoint and how much of a chat it holds.
-	place struct {
+	// location is an endpoint and how much of a chat it holds.
+	location struct {
 		endpoint string
 		tokens   int
 		at       time.Time
 	}
 )
 
-func newMemory(limit int) *memory {
-	return &memory{limit: limit, young: map[string]place{}}
+func newChatCache(limit int) *chatCache {
+	return &chatCache{limit: limit, young: map[string]location{}}
 }
 
-func (m *memory) get(chat string) (place, bool) {
-	if p, ok := m.young[chat]; ok {
+func (c *chatCache) get(chat string) (location, bool) {
+	if p, ok := c.young[chat]; ok {
 		return p, true
 	}
-	p, ok := m.old[chat]
+	p, ok := c.old[chat]
 	return p, ok
 }
 
-func (m *memory) put(chat string, p place) {
-	if len(m.young) >= m.limit/2 {
-		m.old = m.young
-		m.young = make(map[string]place, len(m.old))
+func (c *chatCache) put(chat string, p location) {
+	if len(c.young) >= c.limit/2 {
+		c.old = c.young
+		c.young = make(map[string]location, len(c.old))
 	}
-	m.young[chat] = p
+	c.young[chat] = p
 }
--- a/internal/route/ranker.go
+++ b/internal/route/ranker.go
@@ -13,31 +13,30 @@
 	// Ranker orders the endpoints that may run a request. A Ranker belongs to
 	// one Router, which serializes the calls.
 	Ranker interface {
-		// Rank returns the places of the endpoints in the pool, best first.
+		// Rank returns the indices of the endpoints in the pool, best first.
 		Rank(now time.Time, pool *kernel.Pool, r Request) []int
 	}
 
 	hashRanker struct{}
 
-	// scored is an endpoint's place and its rank in a hash order.
+	// scored is an endpoint's index and its score in the rendezvous order.
 	scored struct {
-		place int
+		index int
 		state kernel.State
 		score uint64
 	}
 )
 
-// NewHashRanker returns the Ranker that takes the holder of the chat's prefix
-// first, then the rendezvous order of the chat, live endpoints before suspect
-// ones.
+// NewHashRanker returns the Ranker that prefers the holder of the chat's prefix, then
+// follows the chat's rendezvous order, live endpoints before suspect ones.
 func NewHashRanker() Ranker { return hashRanker{} }
 
-// Rank returns the order.
+// Rank returns the endpoints in that order.
 func (hashRanker) Rank(_ time.Time, pool *kernel.Pool, r Request) []int {
 	list := make([]scored, 0, len(pool.Endpoints))
 	for _, i := range Candidates(pool) {
 		e := &pool.Endpoints[i]
-		s := scored{place: i, state: e.State, score: kernel.Score(r.Chat, e.Name)}
+		s := scored{index: i, state: e.State, score: kernel.Score(r.Chat, e.Name)}
 		if e.Name == r.Hint.Endpoint {
 			s.score = math.MaxUint64
 		}
@@ -48,12 +47,12 @@
 	})
 	order := make([]int, len(list))
 	for i, s := range list {
-		order[i] = s.place
+		order[i] = s.index
 	}
 	return order
 }
 
-// Candidates returns the places of the endpoints of a pool that may take new
+// Candidates returns the indices of the endpoints of a pool that may be sent new
 // work, in the order of their names.
 func Candidates(pool *kernel.Pool) []int {
 	list := make([]int, 0, len(pool.Endpoints))
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -3,82 +3,83 @@
 import "bulrushhinge.example/bulrushhinge/internal/kernel"
 
 const (
-	// retryShare is how many repeats a node makes at most for each request that
-	// it starts, over a while.
-	retryShare = 0.1
-	// retryBurst is how many repeats it may make at once.
+	// retryRatio is the greatest long-term ratio of retries to started requests of a
+	// node.
+	retryRatio = 0.1
+	// retryBurst is the number of retries that it may make at once.
 	retryBurst = 20
 )
 
-// budget bounds the repeats of a node.
+// retryBudget is a token bucket that bounds the retries of a node.
 //
-// When many endpoints fail at once, every request on them is repeated, up to
-// the number of attempts that one may have. The endpoints that are left get a
-// multiple of their load just then and fail too. Repeats are therefore bounded
-// to a share of the requests; as each node keeps to it, so does the fleet.
-type budget struct {
-	left float64
+// When many endpoints fail at once, every request on them is retried, up to the
+// number of attempts that a request may have. The remaining endpoints then receive a
+// multiple of their load and fail too. Retries are therefore bounded to a fraction of
+// the requests; as each node stays within its budget, so does the fleet.
+type retryBudget struct {
+	tokens float64
 }
 
-func newBudget() *budget { return &budget{left: retryBurst} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryBurst} }
 
-// earn notes a request that starts.
-func (b *budget) earn() { b.left = min(b.left+retryShare, retryBurst) }
+// credit adds the share of a request that starts.
+func (b *retryBudget) credit() { b.tokens = min(b.tokens+retryRatio, retryBurst) }
 
-// spend takes one repeat, or reports false where none is left.
-func (b *budget) spend() bool {
-	if b.left < 1 {
+// take takes one retry, or reports false if none is left.
+func (b *retryBudget) take() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// spend reports whether a request may be repeated.
-func (r *Router) spend() bool {
+// takeRetry reports whether a request may be retried, and takes the retry from the
+// node's budget.
+func (r *Router) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retries.spend()
+	return r.retryBudget.take()
 }
 
-// prefer returns the first endpoint that was not tried, one of an availability
-// zone in which no attempt failed where there is one: what fails in a zone often
-// fails in all of it.
+// pick returns the first endpoint that was not tried, if possible one in an
+// availability zone in which no attempt failed: failures in a zone often affect all
+// of it.
 //
-// An endpoint that the request failed at comes after all others. It would fail
-// there again and use up its attempts, while a healthy endpoint that was full a
-// moment ago has room the next.
-func (p *Plan) prefer(pool *kernel.Pool, order []int) (kernel.Endpoint, bool) {
-	var second, last *kernel.Endpoint
-	pending := false
+// An endpoint at which an attempt of this request failed comes after all others. It
+// would fail again and use up the attempts, while a healthy endpoint that was full a
+// moment ago may have room the next.
+func (p *Plan) pick(pool *kernel.Pool, order []int) (kernel.Endpoint, bool) {
+	var failedZone, failed *kernel.Endpoint
+	healthyTried := false
 	for _, i := range order {
 		e := &pool.Endpoints[i]
 		switch {
 		case p.failed[e.Name]:
-			if last == nil && !p.tried[e.Name] {
-				last = e
+			if failed == nil && !p.tried[e.Name] {
+				failed = e
 			}
 		case p.tried[e.Name]:
-			pending = true
+			healthyTried = true
 		case !p.failedZones[e.Zone]:
 			return *e, true
-		case second == nil:
-			second = e
+		case failedZone == nil:
+			failedZone = e
 		}
 	}
 	switch {
-	case second != nil:
-		return *second, true
-	case last != nil && !pending:
-		return *last, true
+	case failedZone != nil:
+		return *failedZone, true
+	case failed != nil && !healthyTried:
+		return *failed, true
 	default:
 		return kernel.Endpoint{}, false
 	}
 }
 
-// fail notes an attempt that failed.
-func (p *Plan) fail() {
-	p.tried[p.next.Name] = true
-	p.failed[p.next.Name] = true
-	p.failedZones[p.next.Zone] = true
+// recordFailure records a failed attempt.
+func (p *Plan) recordFailure() {
+	p.tried[p.endpoint.Name] = true
+	p.failed[p.endpoint.Name] = true
+	p.failedZones[p.endpoint.Zone] = true
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,6 @@
-// Package route decides where a request runs. A Plan is the state machine of
-// one request: it names the next step, and its driver does the I/O and tells
-// what came of it. The node's traffic goroutines and the replay drive the same
-// plans.
+// Package route decides where a request runs. A Plan is the state machine of one
+// request: it returns the next step, and its driver does the I/O and reports the
+// outcome. The node's traffic goroutines and the replay drive the same plans.
 package route
 
 import (
@@ -13,13 +12,13 @@
 
 // Kinds of steps.
 const (
-	// StepAsk asks the home of an endpoint for a permit.
+	// StepAsk requests a permit from the owner of an endpoint.
 	StepAsk StepKind = iota + 1
 	// StepRun dispatches the request to an endpoint.
 	StepRun
-	// StepWait lets time pass and asks for the next step then.
+	// StepWait waits; the driver then calls Next again.
 	StepWait
-	// StepRefuse ends the request: it was not run.
+	// StepRefuse ends the request without running it.
 	StepRefuse
 )
 
@@ -33,17 +32,17 @@
 	OutcomeGone
 	// OutcomeLate is a request that cannot be done before its deadline.
 	OutcomeLate
-	// OutcomeUnreachable is a home that did not answer.
+	// OutcomeUnreachable is an owner that did not answer.
 	OutcomeUnreachable
 	// OutcomeNotRun is a dispatch that certainly did not reach the endpoint.
 	OutcomeNotRun
-	// OutcomeLost is a dispatch of which nobody knows whether it ran.
+	// OutcomeLost is a dispatch after which it is unknown whether the request ran.
 	OutcomeLost
 )
 
 // Reasons of a refusal.
 const (
-	// ReasonNone is no refusal.
+	// ReasonNone means that the request was not refused.
 	ReasonNone Reason = ""
 	// ReasonNoEndpoint is a service without a live endpoint.
 	ReasonNoEndpoint Reason = "no_endpoint"
@@ -56,43 +55,44 @@
 	// ReasonLimited is a request over its account's share whose turn would
 	// come after its deadline.
 	ReasonLimited Reason = "limited"
-	// ReasonBudget is a request whose repeat is more than the node may make.
+	// ReasonBudget is a request whose retry would exceed the node's budget.
 	ReasonBudget Reason = "retry_budget"
 	// ReasonAttempts is a request that used up its attempts.
 	ReasonAttempts Reason = "attempts"
 )
 
 const (
-	// RetryAfter is when the caller of a refused request may come back.
+	// RetryAfter is the time after which the caller of a refused request may retry.
 	RetryAfter = time.Second
 
-	fullPause = 20 * time.Millisecond
-	maxPause  = 200 * time.Millisecond
-	// maxDoublings bounds the growth of the pause, maxAsks the homes that are
-	// asked in one round, and laterDenials those that may deny the request in
-	// each round after the first.
-	maxDoublings = 4
-	maxAsks      = 8
-	laterDenials = 4
-	// maxRefused is how many endpoints may refuse a request before it is given
-	// up: they are down, and its caller may come back later.
+	minPause = 20 * time.Millisecond
+	maxPause = 200 * time.Millisecond
+	// maxDoublings bounds the growth of the pause, maxPermitRequests the permit
+	// requests in one round, and maxLaterDenials the denials in each round after the
+	// first.
+	maxDoublings      = 4
+	maxPermitRequests = 8
+	maxLaterDenials   = 4
+	// maxRefused is the number of endpoints that may refuse a request before it is
+	// refused: they are down, and its caller may retry later.
 	maxRefused  = 8
 	maxAttempts = 3
-	// patientAsks is how many asks of a request keep to the margin of the bound.
-	patientAsks = 4
+	// marginRequests is the number of permit requests of a request that keep a margin
+	// to the bound.
+	marginRequests = 4
 )
 
 type (
-	// StepKind is what a step does.
+	// StepKind is the kind of a step.
 	StepKind int
 
-	// Outcome is what came of a step.
+	// Outcome is the outcome of a step.
 	Outcome int
 
 	// Reason is why a request was refused.
 	Reason string
 
-	// Request is what routing knows of a request.
+	// Request is what routing needs to know of a request.
 	Request struct {
 		ID      uint64
 		Account string
@@ -100,23 +100,23 @@
 		Service string
 		Model   string
 		Zone    string
-		// Input is the tokens of the whole prompt, Output those of the answer
-		// at most.
+		// Input is the number of tokens of the whole prompt, Output the greatest
+		// number of tokens of the answer.
 		Input    int
 		Output   int
 		Once     bool
 		Priority int
 		Deadline time.Time
 		Hint     hint.Hint
-		// Cached is how many tokens of the prompt endpoints are believed to
-		// hold, by name. A Router fills it in.
+		// Cached is the number of tokens of the prompt that each endpoint probably
+		// holds, by name. The Router sets it.
 		Cached map[string]int
-		// Import is the cost of importing one cached token from another
-		// endpoint, over that of computing it anew; 0 where the endpoints
-		// cannot. A Router fills it in.
+		// Import is the cost of importing a cached token from another endpoint,
+		// relative to that of computing it; 0 if the endpoints cannot import. The
+		// Router sets it.
 		Import float64
-		// Print identifies the request's content over the whole fleet; 0 where
-		// it is not known.
+		// Print is the fingerprint of the request's content, the same in the whole
+		// fleet; 0 if unknown.
 		Print uint64
 	}
 
@@ -124,18 +124,19 @@
 	Step struct {
 		Kind     StepKind
 		Endpoint kernel.Endpoint
-		// From is the endpoint from which a StepRun first imports the chat's
-		// prefix; its name is empty where there is nothing to import.
+		// From is the endpoint from which a StepRun first imports the chat's prefix;
+		// its name is empty if there is nothing to import.
 		From kernel.Endpoint
-		// Waited is set on a StepAsk where homes have denied the request often.
+		// Waited is set on a StepAsk after several permit requests without success:
+		// the request may then use the margin below the bound.
 		Waited bool
-		// Tokens is the work that a StepAsk asks a permit for.
+		// Tokens is the work for which a StepAsk requests a permit.
 		Tokens int
 		// Until is the end of a StepWait.
 		Until time.Time
-		// Reason is why a StepRefuse refuses.
+		// Reason is the reason of a StepRefuse.
 		Reason Reason
-		// RetryAfter is when a refused caller may come back.
+		// RetryAfter is the time after which a refused caller may retry.
 		RetryAfter time.Duration
 	}
 
@@ -143,30 +144,31 @@
 	Plan struct {
 		router  *Router
 		request Request
-		// tried is the endpoints that were asked in the present round, failed
-		// those that an attempt failed at.
+		// tried are the endpoints that were tried in this round, failed those at
+		// which an attempt failed.
 		tried  map[string]bool
 		failed map[string]bool
-		// believed is where the chat's prefix was taken to be when the request
-		// came, at the time planned; from is where it was imported from.
-		believed place
-		planned  time.Time
-		from     string
-		next     kernel.Endpoint
-		// failedZones is the availability zones of those, repeat is set where
-		// the next attempt is a repeat of one that may have run.
-		failedZones map[string]bool
-		repeat      bool
-		granted     bool
-		lost        bool
-		late        bool
-		attempts    int
-		refused     int
-		// asks counts those of the present round, denials those of them that
-		// were answered by a denial, and waits the rounds that found no endpoint.
-		asks    int
-		denials int
-		waits   int
+		// lastKnown is where the chat's prefix probably was when the request arrived,
+		// at the time planned; importedFrom is the endpoint that it was imported
+		// from.
+		lastKnown    location
+		planned      time.Time
+		importedFrom string
+		endpoint     kernel.Endpoint
+		// failedZones are the availability zones of the failed endpoints; repeat is
+		// set if the next attempt repeats one that may have run.
+		failedZones    map[string]bool
+		repeat         bool
+		granted        bool
+		lost           bool
+		missesDeadline bool
+		attempts       int
+		refused        int
+		// permitRequests and denials count the permit requests and the denials of
+		// this round, failedRounds the rounds in which no endpoint was found.
+		permitRequests int
+		denials        int
+		failedRounds   int
 	}
 )
 
@@ -181,9 +183,9 @@
 		return refuse(ReasonAttempts)
 	case p.refused >= maxRefused:
 		return refuse(ReasonNoEndpoint)
-	case p.repeat && !p.router.spend():
+	case p.repeat && !p.router.takeRetry():
 		return refuse(ReasonBudget)
-	case p.late || !now.Before(p.request.Deadline):
+	case p.missesDeadline || !now.Before(p.request.Deadline):
 		return refuse(ReasonDeadline)
 	}
 	p.repeat = false
@@ -192,105 +194,106 @@
 		return refuse(ReasonNoEndpoint)
 	}
 	if len(Candidates(pool)) == 0 {
-		return p.none(now, pool)
+		return p.awaitBackoff(now, pool)
 	}
 	e, ok := p.choose(now, pool)
-	if !ok || p.asked() {
+	if !ok || p.roundEnded() {
 		return p.wait(now)
 	}
-	p.next = e
-	p.asks++
+	p.endpoint = e
+	p.permitRequests++
 	if p.router.config.Open {
 		return p.run(pool)
 	}
 	return Step{
-		Kind: StepAsk, Endpoint: e, Tokens: p.router.work(pool, p.request, e.Name),
-		Waited: p.waits > 0 || p.asks > patientAsks,
+		Kind: StepAsk, Endpoint: e, Tokens: p.router.workTokens(pool, p.request, e.Name),
+		Waited: p.failedRounds > 0 || p.permitRequests > marginRequests,
 	}
 }
 
-// asked reports whether the present round has asked enough homes. One that follows on a round of
-// denials finds few places: in an overload most of the fleet's work would be to deny them.
-func (p *Plan) asked() bool {
-	return p.asks >= maxAsks || p.waits > 0 && p.denials >= laterDenials
+// roundEnded reports whether this round has made enough permit requests. After a
+// round of denials there are few places: in an overload, denials would otherwise be
+// most of the fleet's work.
+func (p *Plan) roundEnded() bool {
+	return p.permitRequests >= maxPermitRequests || p.failedRounds > 0 && p.denials >= maxLaterDenials
 }
 
 func (p *Plan) run(pool *kernel.Pool) Step {
-	step := Step{Kind: StepRun, Endpoint: p.next}
-	step.From = Source(pool, p.request, p.next.Name)
-	p.from = step.From.Name
+	step := Step{Kind: StepRun, Endpoint: p.endpoint}
+	step.From = Source(pool, p.request, p.endpoint.Name)
+	p.importedFrom = step.From.Name
 	return step
 }
 
-// Learn tells what became known of the request once it ran.
+// Learn records what the run of the request has shown.
 func (p *Plan) Learn(now time.Time, u Usage) { p.router.learn(now, p, u) }
 
-// Report tells what came of the last step.
+// Report records the outcome of the last step.
 func (p *Plan) Report(o Outcome) {
 	p.granted = false
 	switch o {
 	case OutcomeGranted:
 		p.granted = true
 	case OutcomeFull:
-		p.tried[p.next.Name] = true
+		p.tried[p.endpoint.Name] = true
 		p.denials++
 	case OutcomeGone, OutcomeUnreachable:
-		p.tried[p.next.Name] = true
+		p.tried[p.endpoint.Name] = true
 	case OutcomeNotRun:
 		p.refused++
-		p.fail()
+		p.recordFailure()
 	case OutcomeLate:
-		p.late = true
+		p.missesDeadline = true
 	case OutcomeLost:
-		p.fail()
+		p.recordFailure()
 		p.repeat = true
 		p.lost = true
-		// Only attempts that may have run count. Were refused connections to
-		// count too, a request would fail because three endpoints died, while
-		// others could answer it.
+		// Only attempts that may have run count. If refused connections counted too,
+		// a request would fail because three endpoints died, though others could
+		// answer it.
 		p.attempts++
 	}
 }
 
-// wait ends a round in which no endpoint took the request, or refuses the request
-// where the next round would come too late.
+// wait ends a round in which no endpoint took the request, or refuses the request if
+// the next round would come after its deadline.
 func (p *Plan) wait(now time.Time) Step {
-	until := p.pause(now)
+	until := p.endRound(now)
 	if !until.Before(p.request.Deadline) {
 		return refuse(ReasonDeadline)
 	}
 	return Step{Kind: StepWait, Until: until}
 }
 
-// pause ends a round and returns when the next one begins. The pauses grow: under
-// overload, asking would otherwise cost more than the requests.
-func (p *Plan) pause(now time.Time) time.Time {
+// endRound ends a round and returns when the next one begins. The pauses grow: in an
+// overload, permit requests would otherwise cost more than the requests themselves.
+func (p *Plan) endRound(now time.Time) time.Time {
 	clear(p.tried)
-	p.asks, p.denials = 0, 0
-	pause := min(fullPause<<min(p.waits, maxDoublings), maxPause)
-	p.waits++
+	p.permitRequests, p.denials = 0, 0
+	pause := min(minPause<<min(p.failedRounds, maxDoublings), maxPause)
+	p.failedRounds++
 	return now.Add(pause)
 }
 
-// none waits for the first endpoint that takes requests of this node again, or
-// refuses the request at once where none does in time.
-func (p *Plan) none(now time.Time, pool *kernel.Pool) Step {
-	first := firstRest(pool)
+// awaitBackoff waits for the first endpoint whose backoff ends, or refuses the
+// request at once if none ends before its deadline.
+func (p *Plan) awaitBackoff(now time.Time, pool *kernel.Pool) Step {
+	first := firstBackoffEnd(pool)
 	if first.IsZero() || !first.Before(p.request.Deadline) {
 		step := refuse(ReasonNoEndpoint)
 		step.RetryAfter = max(first.Sub(now), step.RetryAfter)
 		return step
 	}
-	until := p.pause(now)
+	until := p.endRound(now)
 	if first.After(until) || !until.Before(p.request.Deadline) {
 		until = first
 	}
 	return Step{Kind: StepWait, Until: until}
 }
 
-// firstRest returns when the first rest of a pool's endpoints ends; zero where none
-// rests.
-func firstRest(pool *kernel.Pool) (first time.Time) {
+// firstBackoffEnd returns when the first backoff of a pool's endpoints ends; zero if
+// none is in backoff.
+func firstBackoffEnd(pool *kernel.Pool) (first time.Time) {
 	for i := range pool.Endpoints {
 		e := &pool.Endpoints[i]
 		if e.State > kernel.Suspect || e.Rest.IsZero() || !first.IsZero() && !e.Rest.Before(first) {
@@ -302,8 +305,8 @@
 }
 
 func (p *Plan) choose(now time.Time, pool *kernel.Pool) (kernel.Endpoint, bool) {
-	order, fresh := p.router.rank(now, pool, p.request, p.asks+p.waits > 0)
-	return p.prefer(fresh, order)
+	order, fresh := p.router.rank(now, pool, p.request, p.permitRequests+p.failedRounds > 0)
+	return p.pick(fresh, order)
 }
 
 func refuse(r Reason) Step {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
-// view returns a view of endpoints w0, w1 ... with the given requests.
+// view returns a view of the endpoints w0, w1 ... with the given numbers of requests.
 func view(loads ...int) *kernel.View {
 	p := &kernel.Pool{Service: manifest.Service{Name: "engines"}, Bound: 1.5, Live: len(loads)}
 	for i, n := range loads {
@@ -66,8 +66,8 @@
 	require.Equal(t, "w1", step.Endpoint.Name)
 }
 
-// A node remembers where a chat ran when its caller brings no hint, and a
-// newer hint goes before what it remembers.
+// A node remembers where a chat ran if its caller sends no hint, and a newer hint
+// takes precedence over that.
 func TestMemoryAndHint(t *testing.T) {
 	r := route.NewRouter(route.Config{})
 	v := view(4, 4, 4, 4)
@@ -79,8 +79,9 @@
 	require.Equal(t, "w1", r.Plan(start.Add(time.Second), req).Next(start, v).Endpoint.Name)
 }
 
-// Guards against this failure: endpoints seemed full of work that never came.
-func TestAnswersAreCountedAsLongAsTheyTurnOut(t *testing.T) {
+// Guards against endpoints that seem full of work that never arrives, because callers
+// allow far longer answers than they get.
+func TestLoadUsesLearnedAnswerLengths(t *testing.T) {
 	r := route.NewRouter(route.Config{})
 	v := view(1, 1)
 	p := r.Plan(start, request(100))
@@ -91,8 +92,9 @@
 	require.Equal(t, 100+20, r.Plan(start, other).Next(start, v).Tokens)
 }
 
-// Guards against this failure: endpoints carried far more tokens than the bound allows.
-func TestOldPrefixesAreFoundToBeGone(t *testing.T) {
+// Guards against endpoints with far more tokens than the bound allows, because hints
+// name prefixes that were evicted.
+func TestHitRateOfOldPrefixesIsLearned(t *testing.T) {
 	r := route.NewRouter(route.Config{})
 	v := view(1, 1, 1, 1)
 	old := request(2000)
@@ -113,9 +115,9 @@
 		cost map[string]float64
 		want string
 	}{
-		"cheaper":    {map[string]float64{"engines": 0.4}, "w0"},
-		"dearer":     {map[string]float64{"engines": 1.2}, ""},
-		"impossible": {nil, ""},
+		"cheaper":        {map[string]float64{"engines": 0.4}, "w0"},
+		"more expensive": {map[string]float64{"engines": 1.2}, ""},
+		"impossible":     {nil, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -132,9 +134,9 @@
 	}
 }
 
-// A denial carries the loads of the home's endpoints; the next ask goes where
-// there is room.
-func TestDenialInformsTheNextAsk(t *testing.T) {
+// A denial carries the loads of the owner's endpoints; the next permit request goes
+// where there is room.
+func TestDenialRedirectsTheNextPermitRequest(t *testing.T) {
 	r := route.NewRouter(route.Config{})
 	v := view(2, 2, 2)
 	p := r.Plan(start, request(100))
@@ -184,13 +186,13 @@
 					return
 				}
 			}
-			t.Fatal("the plan does not end")
+			t.Fatal("the plan did not end")
 		})
 	}
 }
 
-// Guards against this failure: when some endpoints died, the others were overloaded and died
-// too.
+// Guards against an overload by retries: when some endpoints die, the others must not
+// be overloaded and die too.
 func TestRetryStormIsBounded(t *testing.T) {
 	const requests = 1000
 	r := route.NewRouter(route.Config{})
@@ -249,7 +251,7 @@
 	}
 }
 
-// Guards against a request that waits until its deadline for endpoints which take
+// Guards against a request that waits until its deadline for endpoints that take
 // nothing before.
 func TestRequestThatNoEndpointTakesInTime(t *testing.T) {
 	rests := func(d time.Duration) func(e *kernel.Endpoint) {
@@ -260,11 +262,11 @@
 		first, second func(e *kernel.Endpoint)
 		want          route.Step
 	}{
-		"both leave":                        {leaves, leaves, route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: route.RetryAfter}},
-		"both rest beyond the deadline":     {rests(2 * time.Hour), rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
-		"one leaves, one rests for long":    {leaves, rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
-		"one that leaves wanted a rest too": {func(e *kernel.Endpoint) { leaves(e); rests(time.Second)(e) }, rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
-		"one rests for less":                {rests(5 * time.Second), rests(time.Hour), route.Step{Kind: route.StepWait, Until: start.Add(5 * time.Second)}},
+		"both leave":                          {leaves, leaves, route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: route.RetryAfter}},
+		"both in backoff beyond the deadline": {rests(2 * time.Hour), rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
+		"one leaves, one in a long backoff":   {leaves, rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
+		"the leaving one in backoff too":      {func(e *kernel.Endpoint) { leaves(e); rests(time.Second)(e) }, rests(time.Hour), route.Step{Kind: route.StepRefuse, Reason: route.ReasonNoEndpoint, RetryAfter: time.Hour}},
+		"one in a shorter backoff":            {rests(5 * time.Second), rests(time.Hour), route.Step{Kind: route.StepWait, Until: start.Add(5 * time.Second)}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -277,62 +279,63 @@
 	}
 }
 
-// denied plays a request that every home denies, or does not answer, until the plan refuses it or the time is
-// over. It returns the plan's last step, when that was and how often homes were asked.
-func denied(v *kernel.View, req route.Request, answer route.Outcome, span time.Duration) (last route.Step, at time.Duration, asks int) {
+// runDenied runs a request whose permit requests all get the same answer, a denial or
+// none, until the plan refuses it or the time is over. It returns the plan's last
+// step, its time and the number of permit requests.
+func runDenied(v *kernel.View, req route.Request, answer route.Outcome, span time.Duration) (last route.Step, at time.Duration, permitRequests int) {
 	p := route.NewRouter(route.Config{}).Plan(start, req)
 	for now := start; now.Sub(start) < span; {
 		switch last = p.Next(now, v); last.Kind {
 		case route.StepAsk:
-			asks++
+			permitRequests++
 			p.Report(answer)
 		case route.StepWait:
 			now = last.Until
 		default:
-			return last, now.Sub(start), asks
+			return last, now.Sub(start), permitRequests
 		}
 	}
-	return last, span, asks
+	return last, span, permitRequests
 }
 
-// Guards against callers in an overload that wait for a refusal until their time is up,
-// though nobody would look for an endpoint any more.
-func TestRequestOfAnOverloadIsRefusedOnceItsLastRoundIsOver(t *testing.T) {
+// Guards against callers that wait in an overload until their deadline for a refusal,
+// though no more rounds follow.
+func TestOverloadedRequestIsRefusedAfterItsLastRound(t *testing.T) {
 	v := view(make([]int, 24)...)
 	for _, left := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, time.Second} {
 		req := request(100)
 		req.Deadline = start.Add(left)
-		step, at, asks := denied(v, req, route.OutcomeFull, time.Minute)
+		step, at, permitRequests := runDenied(v, req, route.OutcomeFull, time.Minute)
 		require.Equal(t, route.Step{Kind: route.StepRefuse, Reason: route.ReasonDeadline, RetryAfter: route.RetryAfter}, step)
 		require.Less(t, at, left)
-		require.Positive(t, asks)
+		require.Positive(t, permitRequests)
 	}
 }
 
-// Guards against an overload in which homes are asked a hundred times for each request, and
-// the nodes' time goes into denials.
-func TestRequestOfAnOverloadAsksFewHomes(t *testing.T) {
+// Guards against an overload with a hundred permit requests for each request, in
+// which the nodes spend their time on denials.
+func TestOverloadedRequestAsksFewOwners(t *testing.T) {
 	const (
 		span = 10 * time.Second
 		most = 250
 	)
-	_, _, asks := denied(view(make([]int, 24)...), request(100), route.OutcomeFull, span)
-	require.LessOrEqual(t, asks, most)
+	_, _, permitRequests := runDenied(view(make([]int, 24)...), request(100), route.OutcomeFull, span)
+	require.LessOrEqual(t, permitRequests, most)
 }
 
-// Guards against a request that asks the same few homes in every round while they cannot be
-// reached and others could.
-func TestRequestAsksOnWhereHomesAreUnreachable(t *testing.T) {
+// Guards against a request that tries the same few owners in every round while they
+// are unreachable and others are not.
+func TestRequestTriesOtherOwnersIfSomeAreUnreachable(t *testing.T) {
 	const rounds, each = 5, 8
 	p := route.NewRouter(route.Config{}).Plan(start, request(100))
 	for now, round := start, 0; round < rounds; round++ {
-		asked := map[string]bool{}
+		tried := map[string]bool{}
 		step := p.Next(now, view(make([]int, each)...))
 		for ; step.Kind == route.StepAsk; step = p.Next(now, view(make([]int, each)...)) {
-			asked[step.Endpoint.Name] = true
+			tried[step.Endpoint.Name] = true
 			p.Report(route.OutcomeUnreachable)
 		}
-		require.Len(t, asked, each)
+		require.Len(t, tried, each)
 		now = step.Until
 	}
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -10,58 +10,58 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// hearTime is how long a load that a home reported out of turn is newer than
-// the one in the view.
-const hearTime = 300 * time.Millisecond
+// reportTTL is how long a load that an owner reported in a permit reply takes
+// precedence over the one in the view.
+const reportTTL = 300 * time.Millisecond
 
 type (
-	// Config is the settings of a Router.
+	// Config is the configuration of a Router.
 	Config struct {
 		// Ranker orders endpoints; nil is NewCostRanker with its defaults.
 		Ranker Ranker
-		// Open dispatches without asking homes for permits. It serves
+		// Open dispatches without requesting permits from owners. It is for
 		// comparisons; no bound holds with it.
 		Open bool
-		// Rule tells which endpoints would deny a permit; nil is that of the
-		// homes.
+		// Rule decides which endpoints would deny a permit; nil is the owners'
+		// default rule.
 		Rule gate.Rule
-		// Import is what importing a cached token costs, over computing it
-		// anew, by service; services that are missing cannot import.
+		// Import is the cost of importing a cached token relative to computing it, by
+		// service; endpoints of other services cannot import.
 		Import map[string]float64
-		// Memory is how many recent chats are remembered.
+		// Memory is the number of recent chats that are remembered.
 		Memory int
-		// Whole counts prompts and allowed answers whole as load, whatever is
-		// cached and however short answers turn out.
+		// Whole counts the whole prompt and the longest allowed answer as load,
+		// regardless of what is cached and of how long answers usually are.
 		Whole bool
 	}
 
-	// Router makes the plans of a node's requests and holds what they learn
-	// from each other. It is safe for concurrent use.
+	// Router makes the plans of a node's requests and keeps what they learn for later
+	// ones. It is safe for concurrent use.
 	Router struct {
-		config Config
-		mu     sync.Mutex
-		chats  *memory
-		sizes  *estimates
-		hits   *hits
-		// retries bounds the repeats of all requests.
-		retries *budget
-		heard   map[string]hearing
-	}
-
-	// hearing is a load that a home reported out of turn.
-	hearing struct {
+		config    Config
+		mu        sync.Mutex
+		chats     *chatCache
+		estimates *estimates
+		hitRates  *hitRates
+		// retryBudget bounds the retries of all requests.
+		retryBudget *retryBudget
+		loadReports map[string]loadReport
+	}
+
+	// loadReport is a load that an owner reported in a permit reply.
+	loadReport struct {
 		at   time.Time
 		load kernel.Load
 	}
 
-	// Usage is what became known of a request once it ran.
+	// Usage is what is known of a request after its run.
 	Usage struct {
 		// Endpoint ran the request.
 		Endpoint string
-		// Done is set once the answer has ended; what follows is known then.
+		// Done is set once the answer has ended; the fields below are valid then.
 		Done bool
-		// Output is the tokens of the answer, Cached those of the prompt that
-		// the endpoint had; negative where it did not say.
+		// Output is the number of tokens of the answer, Cached that of the prompt
+		// tokens that the endpoint held; negative if the endpoint did not report it.
 		Output int
 		Cached int
 	}
@@ -76,7 +76,7 @@
 		c.Rule = gate.NewBoundRule()
 	}
 	c.Memory = cmp.Or(c.Memory, DefaultMemory)
-	return &Router{config: c, chats: newMemory(c.Memory), sizes: newEstimates(), hits: newHits(), retries: newBudget(), heard: map[string]hearing{}}
+	return &Router{config: c, chats: newChatCache(c.Memory), estimates: newEstimates(), hitRates: newHitRates(), retryBudget: newRetryBudget(), loadReports: map[string]loadReport{}}
 }
 
 // Plan returns the Plan of a request.
@@ -84,116 +84,117 @@
 	p := &Plan{router: r, request: req, planned: now, tried: map[string]bool{}, failed: map[string]bool{}, failedZones: map[string]bool{}}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retries.earn()
+	r.retryBudget.credit()
 	p.request.Import = r.config.Import[req.Service]
-	p.believed = r.believed(req)
-	if p.believed.endpoint != "" {
-		share := r.hits.share(now.Sub(p.believed.at))
-		held := int(share * float64(min(p.believed.tokens, req.Input)))
-		p.request.Cached = map[string]int{p.believed.endpoint: held}
+	p.lastKnown = r.lastKnown(req)
+	if p.lastKnown.endpoint != "" {
+		hitRate := r.hitRates.rate(now.Sub(p.lastKnown.at))
+		held := int(hitRate * float64(min(p.lastKnown.tokens, req.Input)))
+		p.request.Cached = map[string]int{p.lastKnown.endpoint: held}
 	}
 	return p
 }
 
-// believed returns where the newest word of a chat places it.
-func (r *Router) believed(req Request) place {
+// lastKnown returns the last known location of a chat, from its hint or from this
+// node's memory.
+func (r *Router) lastKnown(req Request) location {
 	p, _ := r.chats.get(req.Chat)
 	if h := req.Hint; h.Endpoint != "" && !h.At.Before(p.at.Truncate(time.Second)) {
-		p = place{endpoint: h.Endpoint, tokens: h.Tokens, at: h.At}
+		p = location{endpoint: h.Endpoint, tokens: h.Tokens, at: h.At}
 	}
 	return p
 }
 
-// learn notes what became known of a request that ran.
+// learn records what the run of a request has shown.
 func (r *Router) learn(now time.Time, p *Plan, u Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	req := p.request
 	if req.Chat != "" {
-		r.chats.put(req.Chat, place{endpoint: u.Endpoint, tokens: req.Input + u.Output, at: now})
+		r.chats.put(req.Chat, location{endpoint: u.Endpoint, tokens: req.Input + u.Output, at: now})
 	}
 	if !u.Done {
 		return
 	}
-	r.sizes.learn(req, u.Output)
-	b := p.believed
-	if expected := min(b.tokens, req.Input); expected > 0 && u.Cached >= 0 && (b.endpoint == u.Endpoint || p.from == b.endpoint) {
-		r.hits.learn(p.planned.Sub(b.at), float64(u.Cached)/float64(expected))
+	r.estimates.learn(req, u.Output)
+	known := p.lastKnown
+	if expected := min(known.tokens, req.Input); expected > 0 && u.Cached >= 0 && (known.endpoint == u.Endpoint || p.importedFrom == known.endpoint) {
+		r.hitRates.learn(p.planned.Sub(known.at), float64(u.Cached)/float64(expected))
 	}
 }
 
-// work is the load that a request will probably be at an endpoint, in tokens.
-func (r *Router) work(pool *kernel.Pool, req Request, endpoint string) int {
+// workTokens is the expected load of a request at an endpoint, in tokens.
+func (r *Router) workTokens(pool *kernel.Pool, req Request, endpoint string) int {
 	if r.config.Whole {
 		return req.Input + req.Output
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.expected(pool, req, endpoint)
+	return r.expectedTokens(pool, req, endpoint)
 }
 
-func (r *Router) expected(pool *kernel.Pool, req Request, endpoint string) int {
+func (r *Router) expectedTokens(pool *kernel.Pool, req Request, endpoint string) int {
 	held := req.Cached[endpoint]
 	if s := Source(pool, req, endpoint); s.Name != "" {
 		held = req.Cached[s.Name]
 	}
-	return max(req.Input-held, 0) + r.sizes.output(req)
+	return max(req.Input-held, 0) + r.estimates.output(req)
 }
 
-// Observe tells loads that a home reported out of turn.
+// Observe records loads that an owner reported in a permit reply.
 func (r *Router) Observe(now time.Time, loads []kernel.EndpointLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range loads {
-		r.heard[l.Endpoint] = hearing{at: now, load: l.Load}
+		r.loadReports[l.Endpoint] = loadReport{at: now, load: l.Load}
 	}
 }
 
-// fresh returns a pool with the loads that were reported since the view.
-func (r *Router) fresh(now time.Time, pool *kernel.Pool) *kernel.Pool {
-	if len(r.heard) == 0 {
+// withReports returns a pool with the loads that were reported since the view.
+func (r *Router) withReports(now time.Time, pool *kernel.Pool) *kernel.Pool {
+	if len(r.loadReports) == 0 {
 		return pool
 	}
 	p := *pool
 	p.Endpoints = slices.Clone(pool.Endpoints)
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		h, ok := r.heard[e.Name]
+		report, ok := r.loadReports[e.Name]
 		switch {
 		case !ok:
-		case now.Sub(h.at) > hearTime:
-			delete(r.heard, e.Name)
+		case now.Sub(report.at) > reportTTL:
+			delete(r.loadReports, e.Name)
 		default:
-			e.Load = h.load
+			e.Load = report.load
 		}
 	}
 	return &p
 }
 
-// full reports whether an endpoint's home would deny a permit, as far as the
-// node can tell. Asking there costs a message and a round trip.
-func (r *Router) full(pool *kernel.Pool, req Request, e *kernel.Endpoint) bool {
-	work := r.expected(pool, req, e.Name)
+// wouldDeny reports whether an endpoint's owner would deny a permit, as far as this
+// node knows. Requesting one costs a message and a round trip.
+func (r *Router) wouldDeny(pool *kernel.Pool, req Request, e *kernel.Endpoint) bool {
+	work := r.expectedTokens(pool, req, e.Name)
 	return !r.config.Rule.Fits(pool, e.Load, work, work)
 }
 
-// rank returns the endpoints for a request, best first. Once a home has denied
-// the request, those that probably would too come last.
-func (r *Router) rank(now time.Time, pool *kernel.Pool, req Request, informed bool) ([]int, *kernel.Pool) {
+// rank returns the endpoints for a request, best first. If a permit was requested
+// before, endpoints whose owners would probably deny one come last.
+func (r *Router) rank(now time.Time, pool *kernel.Pool, req Request, asked bool) ([]int, *kernel.Pool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pool = r.fresh(now, pool)
+	pool = r.withReports(now, pool)
 	order := r.config.Ranker.Rank(now, pool, req)
-	if !informed {
+	if !asked {
 		return order, pool
 	}
-	var room, full []int
+	var room, denying []int
 	for _, i := range order {
-		if r.full(pool, req, &pool.Endpoints[i]) {
-			full = append(full, i)
+		if r.wouldDeny(pool, req, &pool.Endpoints[i]) {
+			denying = append(denying, i)
 		} else {
 			room = append(room, i)
 		}
 	}
-	return append(room, full...), pool
+	return append(room, denying...), pool
 }
