--- a/internal/balance/cold_strategies_test.go
+++ b/internal/balance/cold_strategies_test.go
@@ -49,8 +49,8 @@
 		last         int
 	}
 
-	// elected lets the first few nodes in the engine's rendezvous order send, each
-	// its share, evenly spaced. Nodes that do not know of each other elect their own.
+	// elected lets the first few nodes in the engine's order send, each its share,
+	// evenly spaced. Nodes that do not know of each other elect their own.
 	elected struct {
 		chosen bool
 		gap    int
