--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// maxWhole is the largest answer that is held until it is complete; a
-	// larger one is passed on as it comes.
-	maxWhole = 1 << 20
-	// onceIdle is how long a connection may have been idle for a request that
-	// must run once at most. A new connection for each costs two round trips and
-	// a place at the endpoint.
-	onceIdle = time.Second
-	// keepShare is the part of an endpoint's connections that all nodes together
-	// keep idle at most: endpoints take fewer while their queue is long.
-	keepShare = 0.5
+	// maxBuffered is the largest response that is buffered until it is
+	// complete; a larger one is forwarded as it arrives.
+	maxBuffered = 1 << 20
+	// onceMaxIdle is how long a connection may have been idle for an
+	// at-most-once request. A new connection for each costs two round trips and
+	// one of the connections that the endpoint accepts.
+	onceMaxIdle = time.Second
+	// idleShare is the share of an endpoint's connection limit that all nodes
+	// together keep idle at most: endpoints accept fewer connections while their
+	// queue is long.
+	idleShare = 0.5
 )
 
-// wholeAnswer is an endpoint's answer that is complete.
-type wholeAnswer struct {
+// bufferedResponse is a complete response of an endpoint.
+type bufferedResponse struct {
 	head *http.Response
 	body []byte
 }
@@ -39,24 +40,25 @@
 type attempt struct {
 	call    *call
 	choice  *balance.Choice
-	at      time.Time
+	started time.Time
 	outcome balance.Outcome
-	// reserved says that the endpoint had kept a place for the request.
+	// reserved reports that the request uses a slot reserved at the endpoint.
 	reserved bool
-	// status is the endpoint's, 0 if there was none.
+	// status is the response's status, 0 if there was no response.
 	status int
-	// load is what the endpoint says of its own in its answer, and notice what
-	// else it says of itself.
+	// load is the number of requests that the endpoint reports in its response,
+	// and notice what else it reports about itself.
 	load   int
 	notice Notice
-	// first is how long the answer's first byte, or event, took.
-	first time.Duration
-	cause string
-	// silent says that the endpoint was given up for its silence.
-	silent atomic.Bool
+	// latency is the time until a stream's first event, or until any other
+	// response was buffered.
+	latency time.Duration
+	cause   string
+	// timedOut reports that the endpoint was abandoned because it sent nothing.
+	timedOut atomic.Bool
 }
 
-// run sends the request and passes the answer on.
+// run sends the request and forwards the response.
 func (a *attempt) run(ctx context.Context) result {
 	c := a.call
 	pool := c.handler.config.Pool
@@ -68,16 +70,16 @@
 	}
 	x, err := pool.Do(ctx, http1.Request{
 		Addr: a.choice.Endpoint.Addr, Process: a.choice.Endpoint.Start().Key(), ID: c.id, HTTP: a.request(),
-		Idle: c.idle(), Keep: c.keep(), Go: func() bool { return c.open(a.choice.Endpoint) },
+		Idle: c.maxIdle(), Keep: c.maxIdleConns(), Go: func() bool { return c.available(a.choice.Endpoint) },
 	})
 	if err != nil {
-		return a.failed(err)
+		return a.classify(err)
 	}
 	defer x.Abort()
 	a.status = x.Response.StatusCode
-	a.reported(x.Response.Header)
+	a.reportLoad(x.Response.Header)
 	a.notice = c.handler.config.Headers.Notice(a.status, x.Response.Header)
-	c.heed(a.choice.Endpoint, a.notice)
+	c.applyNotice(a.choice.Endpoint, a.notice)
 	h := c.handler.config.Headers
 	if x.Response.Header.Get(h.NotRun) != "" || a.status == http.StatusMisdirectedRequest {
 		return a.notRun(x)
@@ -86,49 +88,50 @@
 		c.handler.config.Balancer.Takes(time.Now(), a.choice.Endpoint.Start())
 	}
 	switch {
-	case !a.sound(x.Response):
+	case !a.valid(x.Response):
 		a.outcome, a.cause = balance.Failed, "unsound-answer"
 		return resultBroken
 	case c.progress.started && a.status/100 != 2:
-		// The caller already has a part of a stream, which this cannot follow.
+		// The caller already has part of a stream, which this cannot continue.
 		a.outcome, a.cause = balance.Failed, "not-resumed"
 		return resultBroken
 	case c.route.Kind.Streams() && a.status/100 == 2:
 		return a.stream(x, timer)
 	}
-	return a.whole(x, timer)
+	return a.forward(x, timer)
 }
 
-// idle is for how long the connection may have been idle.
+// maxIdle returns how long the connection may have been idle, 0 for a new one.
 //
-// An endpoint may close a kept connection as a request is sent on it, and nobody
-// could tell whether it was read: a request that must run once at most would be
-// lost. Shortly after an answer that does not happen. Answers of an endpoint
-// without an ID can only be told apart on a new connection. Nor is one risked
-// after an attempt that got no answer: the next might be lost in the same way.
-func (c *call) idle() time.Duration {
+// An endpoint may close an idle connection while a request is sent on it. Whether
+// the request was read is then unknown, so an at-most-once request is lost. This
+// does not happen shortly after a response. Responses without a request ID can be
+// matched to requests only on a new connection. After an attempt without any
+// response a new one is used too, as the next might be lost in the same way.
+func (c *call) maxIdle() time.Duration {
 	switch {
-	case c.id == "" || c.progress.lost:
+	case c.id == "" || c.progress.noResponse:
 		return 0
 	case c.route.Kind.Repeats():
 		return http1.MaxIdle
 	}
-	return onceIdle
+	return onceMaxIdle
 }
 
-// keep is how many idle connections this node may keep to an endpoint.
+// maxIdleConns returns how many idle connections this node may keep to an
+// endpoint, 0 for the pool's default.
 //
-// An endpoint resets connections past a number, which counts those of all nodes,
-// idle ones too; a request that must run once is lost with a reset. One would
-// see resets on new connections after a burst that left many idle ones.
-func (c *call) keep() int {
+// An endpoint resets connections beyond a limit that counts those of all nodes,
+// idle ones included, and an at-most-once request is lost with a reset. A burst
+// that leaves many idle connections would cause resets of new ones.
+func (c *call) maxIdleConns() int {
 	if c.service.Connections == 0 {
 		return 0
 	}
-	return max(int(keepShare*float64(c.service.Connections))/max(c.handler.config.Nodes(), 1), 1)
+	return max(int(idleShare*float64(c.service.Connections))/max(c.handler.config.Nodes(), 1), 1)
 }
 
-// request builds what is sent.
+// request builds the request that is sent to the endpoint.
 func (a *attempt) request() *http.Request {
 	c := a.call
 	h := c.handler.config.Headers
@@ -139,12 +142,12 @@
 	if a.choice.Source != nil {
 		header.Set(h.Fetch, a.choice.Source.Addr.String())
 	}
-	if c.reserved != "" {
-		header.Set(h.Reserved, c.reserved)
-		c.reserved, a.reserved = "", true
+	if c.reservation != "" {
+		header.Set(h.Reserved, c.reservation)
+		c.reservation, a.reserved = "", true
 	}
-	if c.progress.last > 0 {
-		header.Set(h.LastEvent, strconv.FormatUint(c.progress.last, 10))
+	if c.progress.lastEvent > 0 {
+		header.Set(h.LastEvent, strconv.FormatUint(c.progress.lastEvent, 10))
 	}
 	req := &http.Request{
 		Method: c.in.Method, URL: &url.URL{Scheme: "http", Host: c.in.Host, Opaque: c.in.RequestURI},
@@ -157,12 +160,12 @@
 	return req
 }
 
-// failed sorts an error by what it says about the request.
-func (a *attempt) failed(err error) result {
+// classify maps an error to a result, by whether the request may have run.
+func (a *attempt) classify(err error) result {
 	c := a.call
 	a.cause = a.explain(err)
-	if c.gone() {
-		return resultGone
+	if c.callerGone() {
+		return resultCallerGone
 	}
 	if errors.Is(err, http1.ErrConnect) {
 		a.outcome = balance.Unreachable
@@ -172,20 +175,20 @@
 		return resultWithdrawn
 	}
 	a.outcome = balance.Failed
-	c.progress.lost = c.progress.lost || a.status == 0
+	c.progress.noResponse = c.progress.noResponse || a.status == 0
 	if http1.IsCut(err) {
-		c.handler.config.Crashes.Saw(time.Now(), c.print, a.choice.Endpoint.Start())
+		c.handler.config.Crashes.Report(time.Now(), c.print, a.choice.Endpoint.Start())
 	}
 	return resultBroken
 }
 
-// explain tells why an attempt ended. An attempt that the gateway ends shows only
-// that its connection was closed.
+// explain returns why an attempt ended. If the gateway ended it, err says only
+// that the connection was closed.
 func (a *attempt) explain(err error) string {
 	switch {
-	case a.silent.Load():
+	case a.timedOut.Load():
 		return "endpoint silent, given up"
-	case a.call.gone():
+	case a.call.callerGone():
 		return "caller gone"
 	case !time.Now().Before(a.call.deadline):
 		return "deadline"
@@ -193,9 +196,9 @@
 	return err.Error()
 }
 
-// notRun takes an answer that says the request did not run. On a kept
-// connection an answer without an ID may be another request's; it is not
-// believed.
+// notRun handles a response that says the request did not run. On a reused
+// connection, one without the request's ID may belong to another request and is
+// not trusted.
 func (a *attempt) notRun(x *http1.Exchange) result {
 	h := a.call.handler.config.Headers
 	if !x.Fresh && x.Response.Header.Get(h.RequestID) != a.call.id {
@@ -206,16 +209,16 @@
 	if a.status == http.StatusMisdirectedRequest {
 		a.outcome = balance.Gone
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxWhole)); err == nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxBuffered)); err == nil {
 		x.Finish()
 	}
 	return resultNotRun
 }
 
-// sound reports whether an answer may be an endpoint's: a success bears its
-// seal and no encoding, and a status that promises that the request did not run
-// says so.
-func (a *attempt) sound(resp *http.Response) bool {
+// valid reports whether a response may be an endpoint's: a success has the seal
+// header and no content encoding. A status which implies that the request did not
+// run is invalid here, as run has handled the responses that say so explicitly.
+func (a *attempt) valid(resp *http.Response) bool {
 	h := a.call.handler.config.Headers
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
@@ -227,96 +230,97 @@
 	return resp.Header.Get(h.Seal) != "" && resp.Header.Get("Content-Encoding") == ""
 }
 
-// whole passes on an answer that is not a stream, once it is complete. A failure
-// that may be tried again is kept: it is still the endpoint's answer where
-// nothing better comes.
-func (a *attempt) whole(x *http1.Exchange, timer *time.Timer) result {
+// forward forwards a response that is not a stream once it is complete. A
+// retryable failure becomes the fallback: it is still the endpoint's response if
+// no attempt gets a better one.
+func (a *attempt) forward(x *http1.Exchange, timer *time.Timer) result {
 	c := a.call
-	body, err := io.ReadAll(io.LimitReader(x.Response.Body, maxWhole+1))
+	body, err := io.ReadAll(io.LimitReader(x.Response.Body, maxBuffered+1))
 	if err != nil {
-		return a.failed(err)
+		return a.classify(err)
 	}
-	a.first = time.Since(a.at)
-	c.queue().Began(c.wanted(), a.first)
-	if len(body) > maxWhole {
+	a.latency = time.Since(a.started)
+	c.queue().Began(c.admissionRequest(), a.latency)
+	if len(body) > maxBuffered {
 		if timer != nil {
-			// The endpoint is not silent, and nobody else could go on with its answer.
+			// The endpoint is responding, and no other could continue its response.
 			timer.Stop()
 		}
-		return a.long(x, body)
+		return a.forwardLarge(x, body)
 	}
 	x.Finish()
-	whole := &wholeAnswer{head: x.Response, body: body}
+	whole := &bufferedResponse{head: x.Response, body: body}
 	if x.Response.StatusCode >= http.StatusInternalServerError {
 		a.outcome = balance.Failed
-		if c.mayRepeat() && x.Response.StatusCode != http.StatusGatewayTimeout {
-			c.kept = whole
+		if c.canRetry() && x.Response.StatusCode != http.StatusGatewayTimeout {
+			c.fallback = whole
 			return resultBroken
 		}
 	} else {
 		a.outcome = balance.Served
-		c.handler.config.Crashes.Served(c.print)
+		c.handler.config.Crashes.Forget(c.print)
 	}
-	c.pass(whole)
+	c.writeResponse(whole)
 	return resultDone
 }
 
-// mayRepeat reports whether the attempt under way may be followed by another
-// one though it has run.
-func (c *call) mayRepeat() bool {
+// canRetry reports whether the current attempt may be followed by another even
+// if it has run.
+func (c *call) canRetry() bool {
 	return c.route.Kind.Repeats() && c.progress.runs+1 < c.route.Attempts
 }
 
-// pass writes a complete answer to the caller.
-func (c *call) pass(w *wholeAnswer) {
-	c.copyHead(w.head)
+// writeResponse writes a complete response to the caller.
+func (c *call) writeResponse(w *bufferedResponse) {
+	c.copyHeader(w.head)
 	c.out.Header().Set("Content-Length", strconv.Itoa(len(w.body)))
 	c.out.WriteHeader(w.head.StatusCode)
-	// A caller that has gone needs no answer.
+	// An error means that the caller has disconnected.
 	_, _ = c.out.Write(w.body)
 }
 
-// long passes on an answer that is too large to be held.
-func (a *attempt) long(x *http1.Exchange, begin []byte) result {
+// forwardLarge forwards a response that is too large to buffer; prefix is the part
+// that has been read.
+func (a *attempt) forwardLarge(x *http1.Exchange, prefix []byte) result {
 	c := a.call
-	c.copyHead(x.Response)
+	c.copyHeader(x.Response)
 	if length := x.Response.ContentLength; length >= 0 {
 		c.out.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	c.out.WriteHeader(x.Response.StatusCode)
 	c.progress.started = true
-	_, err := io.Copy(c.out, io.MultiReader(bytes.NewReader(begin), x.Response.Body))
+	_, err := io.Copy(c.out, io.MultiReader(bytes.NewReader(prefix), x.Response.Body))
 	if err != nil {
 		a.cause = a.explain(err)
-		if c.gone() {
-			return resultGone
+		if c.callerGone() {
+			return resultCallerGone
 		}
 		return resultCut
 	}
 	if x.Response.StatusCode < http.StatusInternalServerError {
 		a.outcome = balance.Served
-		c.handler.config.Crashes.Served(c.print)
+		c.handler.config.Crashes.Forget(c.print)
 	}
 	x.Finish()
 	return resultDone
 }
 
-// copyHead copies an answer's headers.
-func (c *call) copyHead(resp *http.Response) {
+// copyHeader copies a response's end-to-end headers to the caller's response.
+func (c *call) copyHeader(resp *http.Response) {
 	to := c.out.Header()
-	for name, values := range passed(resp.Header) {
+	for name, values := range endToEnd(resp.Header) {
 		to[name] = values
 	}
 }
 
-// fields are what the log says of the attempt.
+// fields returns the attempt's log fields.
 func (a *attempt) fields(res result) decision.Fields {
 	f := decision.Fields{
 		"endpoint": a.choice.Endpoint.ID, "load": a.choice.Load, "mean": float64(int(a.choice.Mean*10)) / 10, "ready": a.choice.Ready,
-		"result": res.String(), "status": a.status, "took_ms": time.Since(a.at).Milliseconds(), "first_ms": a.first.Milliseconds(),
+		"result": res.String(), "status": a.status, "took_ms": time.Since(a.started).Milliseconds(), "first_ms": a.latency.Milliseconds(),
 	}
 	if a.choice.First != nil {
-		f["prompt"] = a.call.key
+		f["prompt"] = a.call.promptKey
 		f["preferred"] = a.choice.First.ID == a.choice.Endpoint.ID
 	}
 	if age := a.choice.Age; age > 0 {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -5,44 +5,44 @@
 	"slices"
 )
 
-// zoneNodes is how many nodes of a caller's availability zone suffice to keep it
-// there.
-const zoneNodes = 2
+// minZoneNodes is how many nodes of its availability zone must be ready to keep a
+// caller there.
+const minZoneNodes = 2
 
 type (
-	// Caller is who asks for the nodes' addresses.
+	// Caller is a client that asks for the nodes' addresses.
 	Caller struct {
-		// Host is the host that it will ask for.
+		// Host is the host of its requests.
 		Host string
-		// Region and Zone are where it is.
+		// Region and Zone are its location.
 		Region string
 		Zone   string
 	}
 
-	// Node is a node that takes callers.
+	// Node is a node that serves callers.
 	Node struct {
 		Zone string
-		// Callers is where it takes them.
+		// Callers is the address at which it serves them.
 		Callers netip.AddrPort
 	}
 )
 
-// Nearest returns the addresses of the nodes that a caller should use, of those
-// that are ready. Homes are the regions in which what it asks for may run.
+// Nearest returns the addresses of the ready nodes that a caller should use.
+// Residency lists the regions in which its requests may run.
 //
-// Callers stay within their zone, where bytes cost nothing, if at least two
-// nodes of it are ready: a caller whose only node dies has nowhere to go until
-// it asks again. Else they stay within their region, and else within the homes:
-// bodies are not to reach a node elsewhere.
-func Nearest(c Caller, ready []Node, regions map[string]string, homes []string) []netip.AddrPort {
-	var all, home, region, zone []netip.AddrPort
+// Callers stay within their zone, where traffic is free, if at least two of its
+// nodes are ready: a caller whose only node dies has no other until it asks again.
+// Otherwise they stay within their region, or else within the residency regions,
+// as request bodies should not reach nodes elsewhere.
+func Nearest(c Caller, ready []Node, regions map[string]string, residency []string) []netip.AddrPort {
+	var all, resident, region, zone []netip.AddrPort
 	for _, n := range ready {
 		all = append(all, n.Callers)
-		at, known := regions[n.Zone]
-		if known && slices.Contains(homes, at) {
-			home = append(home, n.Callers)
+		nodeRegion, known := regions[n.Zone]
+		if known && slices.Contains(residency, nodeRegion) {
+			resident = append(resident, n.Callers)
 		}
-		if known && at == c.Region {
+		if known && nodeRegion == c.Region {
 			region = append(region, n.Callers)
 		}
 		if n.Zone == c.Zone {
@@ -50,12 +50,12 @@
 		}
 	}
 	switch {
-	case len(zone) >= zoneNodes:
+	case len(zone) >= minZoneNodes:
 		return zone
 	case len(region) > 0:
 		return region
-	case len(home) > 0:
-		return home
+	case len(resident) > 0:
+		return resident
 	}
 	return all
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -8,58 +8,58 @@
 )
 
 type (
-	// residence is where a request may run.
-	residence struct {
-		// bound says that it may run in the regions only.
-		bound   bool
-		regions []string
+	// residency is where a request may run.
+	residency struct {
+		// restricted says that it may run in the regions only.
+		restricted bool
+		regions    []string
 	}
 )
 
-// reside returns where a request of a route and client account may run. Where
-// both name regions, both bind; there may be none that both allow.
-func reside(r *deployment.Route, a *deployment.Account) residence {
+// residencyOf returns where a request of a route and client account may run. If
+// both name regions, only those in common are allowed; there may be none.
+func residencyOf(r *deployment.Route, a *deployment.Account) residency {
 	var account []string
 	if a != nil {
 		account = a.Homes
 	}
 	switch {
 	case len(account) == 0:
-		return residence{bound: len(r.Homes) > 0, regions: r.Homes}
+		return residency{restricted: len(r.Homes) > 0, regions: r.Homes}
 	case len(r.Homes) == 0:
-		return residence{bound: true, regions: account}
+		return residency{restricted: true, regions: account}
 	}
-	return residence{bound: true, regions: slices.DeleteFunc(slices.Clone(r.Homes), func(region string) bool {
+	return residency{restricted: true, regions: slices.DeleteFunc(slices.Clone(r.Homes), func(region string) bool {
 		return !slices.Contains(account, region)
 	})}
 }
 
-// endpoints returns the endpoints of the call's service that are in its homes.
-// The region of an endpoint may be unknown; it is then no home.
+// endpoints returns the endpoints of the call's service within its residency
+// regions. An endpoint whose region is unknown is in none of them.
 func (c *call) endpoints() []*deployment.Endpoint {
 	h := c.handler.config
 	list := h.Deployment.Snapshot().Endpoints[c.service.Name]
-	if !c.homes.bound {
+	if !c.residency.restricted {
 		return list
 	}
 	var at []*deployment.Endpoint
 	for _, e := range list {
-		if region, ok := h.Regions[e.Zone]; ok && slices.Contains(c.homes.regions, region) {
+		if region, ok := h.Regions[e.Zone]; ok && slices.Contains(c.residency.regions, region) {
 			at = append(at, e)
 		}
 	}
 	return at
 }
 
-// barred tells why no endpoint may be sent the call, however long it waits; it is
-// empty if one may.
+// blockedReason returns why no endpoint may be sent the call, however long it
+// waits, or "" if waiting may help.
 //
-// Endpoints that are about to be known again after an outage are no such reason,
-// nor is the want of room.
-func (c *call) barred() string {
+// A lack of capacity is no such reason, nor is an empty list of endpoints for an
+// unrestricted call: they may be about to be known again after an outage.
+func (c *call) blockedReason() string {
 	list := c.endpoints()
-	if c.homes.bound && len(list) == 0 {
-		return reasonHomes
+	if c.residency.restricted && len(list) == 0 {
+		return reasonResidency
 	}
 	evacuated := false
 	for _, e := range list {
@@ -77,11 +77,11 @@
 	return ""
 }
 
-// open reports whether an endpoint may still be sent a request.
+// available reports whether an endpoint may still be sent a request.
 //
-// Between the choice and the sending lie a question for a place and the opening
-// of a connection. The endpoint may leave, or its zone be evacuated, in between.
-func (c *call) open(e *deployment.Endpoint) bool {
+// Reserving a slot and opening a connection come between choosing the endpoint and
+// sending. Meanwhile the endpoint may leave, or its zone may be evacuated.
+func (c *call) available(e *deployment.Endpoint) bool {
 	h := c.handler.config
 	now := h.Deployment.Snapshot().Find(c.service.Name, e.Start())
 	if now == nil || !now.Takes() {
@@ -91,18 +91,18 @@
 	return !rests
 }
 
-// resting returns the refusal of a call that may wait until a time, if all endpoints
-// rest for longer; otherwise nil.
-func (c *call) resting(until time.Time) *refusal {
+// backoffRefusal returns the refusal of a call that may wait until a given time if
+// all endpoints have asked for a backoff beyond it; otherwise nil.
+func (c *call) backoffRefusal(until time.Time) *refusal {
 	now := time.Now()
 	first, all := c.handler.config.Balancer.Resting(now, c.endpoints()...)
 	if !all || !first.After(until) {
 		return nil
 	}
-	ref := c.given(reasonResting)
-	if ref.after > 0 {
-		latest := time.Duration(returnLatest * float64(c.deadline.Sub(now)))
-		ref.after = max(min(first.Sub(now), latest), ref.after)
+	ref := c.giveUp(reasonBackoff)
+	if ref.retryAfter > 0 {
+		latest := time.Duration(maxRetryShare * float64(c.deadline.Sub(now)))
+		ref.retryAfter = max(min(first.Sub(now), latest), ref.retryAfter)
 	}
 	return ref
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,12 +31,12 @@
 )
 
 type (
-	// reply is what an endpoint does with one request. It returns whether the
-	// connection stays open.
+	// reply handles one request at an endpoint. It returns whether the connection
+	// stays open.
 	reply func(c net.Conn, r *http.Request) bool
 
-	// endpoint is an endpoint that plays one reply after the other; the last
-	// one is repeated.
+	// endpoint is a test endpoint that uses its replies in turn and repeats the
+	// last one.
 	endpoint struct {
 		listener net.Listener
 		mu       sync.Mutex
@@ -44,8 +44,8 @@
 		requests []*http.Request
 	}
 
-	// fixed is a deployment of which only that endpoints leave ever changes.
-	fixed struct {
+	// staticDeployment is a deployment that changes only by leave notices.
+	staticDeployment struct {
 		snapshot *deployment.Snapshot
 		age      time.Duration
 		left     *[]string
@@ -53,18 +53,18 @@
 
 	noLoads struct{}
 
-	// fixture is a gateway before some endpoints.
+	// fixture is a gateway in front of some endpoints.
 	fixture struct {
 		server    *httptest.Server
 		endpoints []*endpoint
 		snapshot  *deployment.Snapshot
 		crashes   int
-		// left are the endpoints that have said that they leave.
+		// left are the endpoints that have sent a leave notice.
 		left []string
 	}
 
-	// answer is what a caller got.
-	answer struct {
+	// response is what a caller got.
+	response struct {
 		status   int
 		body     string
 		header   http.Header
@@ -72,17 +72,17 @@
 	}
 )
 
-func (f fixed) Snapshot() *deployment.Snapshot { return f.snapshot }
+func (d staticDeployment) Snapshot() *deployment.Snapshot { return d.snapshot }
 
-// Configured implements gateway.Deployment: what is known never changes.
-func (fixed) Configured() <-chan struct{} { return nil }
+// Configured implements gateway.Deployment: the configuration never changes.
+func (staticDeployment) Configured() <-chan struct{} { return nil }
 
-func (f fixed) Age() (time.Duration, bool) { return f.age, true }
+func (d staticDeployment) Age() (time.Duration, bool) { return d.age, true }
 
 // Leaving implements gateway.Deployment.
-func (f fixed) Leaving(s deployment.Start, _ string) {
-	*f.left = append(*f.left, s.ID)
-	for _, list := range f.snapshot.Endpoints {
+func (d staticDeployment) Leaving(s deployment.Start, _ string) {
+	*d.left = append(*d.left, s.ID)
+	for _, list := range d.snapshot.Endpoints {
 		for _, e := range list {
 			e.Draining = e.Draining || e.Start() == s
 		}
@@ -93,17 +93,17 @@
 
 func (noLoads) OthersReading(uint32) int { return 0 }
 
-// OthersFailures implements balance.Loads: nothing has failed.
+// OthersFailures implements balance.Loads: no attempt has failed.
 func (noLoads) OthersFailures(uint32) int { return 0 }
 
-// Age implements balance.Loads: all is new.
+// Age implements balance.Loads: the loads are current.
 func (noLoads) Age(time.Time) time.Duration { return 0 }
 
 func headers() gateway.Headers {
 	return gateway.Headers{
 		RequestID: id, Deadline: "Deadline-Ms", APIKey: "Api-Key", Account: "Account", Expect: "Expect-Endpoint",
 		Load: "Load", NotRun: "Not-Run", Seal: seal, Prompt: "Prompt", Tokens: "Tokens",
-		Leaving: leaving, Rest: rest, Model: "Model", Priority: "Priority", LastEvent: "Last-Event-Id", Fetch: "Fetch", Reserved: reserved, Trusted: []string{"Fetch", "Account"},
+		Leaving: leaving, Rest: retryAfter, Model: "Model", Priority: "Priority", LastEvent: "Last-Event-Id", Fetch: "Fetch", Reserved: reserved, Trusted: []string{"Fetch", "Account"},
 	}
 }
 
@@ -196,8 +196,8 @@
 	return text
 }
 
-// stream answers with events after the one that the request names, up to a last
-// one, then with the tail; ended streams have their last chunk.
+// stream replies with the events after the request's Last-Event-Id up to last, then
+// with tail; if ended is true, the final chunk follows.
 func stream(last int, tail string, ended bool) reply {
 	return func(c net.Conn, r *http.Request) bool {
 		after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -231,7 +231,7 @@
 	return f
 }
 
-// serve starts the gateway before the fixture's endpoints, of four slots each.
+// serve starts the gateway in front of the fixture's endpoints, with four slots each.
 func (f *fixture) serve(t *testing.T, config *deployment.Config, loads balance.Loads, places gateway.Reserver) {
 	config.Index()
 	f.snapshot = &deployment.Snapshot{Config: config, Endpoints: map[string][]*deployment.Endpoint{}}
@@ -242,7 +242,7 @@
 	}
 	pool := http1.NewPool(http1.PoolConfig{RequestID: id})
 	h := gateway.New(gateway.Config{
-		Headers: headers(), Deployment: fixed{snapshot: f.snapshot, left: &f.left}, Pool: pool, Places: places,
+		Headers: headers(), Deployment: staticDeployment{snapshot: f.snapshot, left: &f.left}, Pool: pool, Places: places,
 		Regions:  map[string]string{"z0": "r0", "z1": "r1"},
 		Balancer: balance.New(balance.Config{Loads: loads}),
 		Budget:   budget.New(budget.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 20, Nodes: func() int { return 1 }}),
@@ -254,11 +254,11 @@
 	t.Cleanup(f.server.Close)
 }
 
-func (f *fixture) ask(t *testing.T, path string, header map[string]string) answer {
-	return f.askFor(context.Background(), t, path, header)
+func (f *fixture) post(t *testing.T, path string, header map[string]string) response {
+	return f.postContext(context.Background(), t, path, header)
 }
 
-func (f *fixture) askFor(ctx context.Context, t *testing.T, path string, header map[string]string) answer {
+func (f *fixture) postContext(ctx context.Context, t *testing.T, path string, header map[string]string) response {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.server.URL+path, strings.NewReader("body"))
 	require.NoError(t, err)
 	req.Host = "h"
@@ -268,11 +268,11 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, body: string(body), header: resp.Header, complete: err == nil}
+	return response{status: resp.StatusCode, body: string(body), header: resp.Header, complete: err == nil}
 }
 
 func (f *fixture) arrivals() int {
@@ -283,7 +283,7 @@
 	return n
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	other := "HTTP/1.1 200 OK\r\n" + id + ": q0\r\n" + seal + ": s\r\nContent-Length: 5\r\n\r\nother"
 	cases := []struct {
 		name     string
@@ -293,35 +293,35 @@
 		second   reply
 		status   int
 		body     string
-		// cut says that the answer must not look complete.
+		// cut says that the response must not look complete.
 		cut      bool
 		arrivals int
 	}{
-		{name: "an answer is passed on", first: whole(200, "hi"), status: 200, body: "hi", arrivals: 1},
-		{name: "so is an endpoint's own failure", kind: deployment.AtMostOnce, first: whole(500, "no"), status: 500, body: "no", arrivals: 1},
-		{name: "an idempotent request is tried again after a failure", first: whole(500, "no"), second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
-		{name: "but not on more endpoints than its route allows", attempts: 1, first: whole(500, "no"), second: whole(200, "hi"), status: 500, body: "no", arrivals: 1},
-		{name: "a refused request is tried elsewhere, also one that runs once", kind: deployment.AtMostOnce, first: shed, second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
+		{name: "a response is forwarded", first: whole(200, "hi"), status: 200, body: "hi", arrivals: 1},
+		{name: "an endpoint's own failure is forwarded", kind: deployment.AtMostOnce, first: whole(500, "no"), status: 500, body: "no", arrivals: 1},
+		{name: "an idempotent request is retried after a failure", first: whole(500, "no"), second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
+		{name: "an idempotent request runs at no more endpoints than its route allows", attempts: 1, first: whole(500, "no"), second: whole(200, "hi"), status: 500, body: "no", arrivals: 1},
+		{name: "a refused request is retried elsewhere, even an at-most-once one", kind: deployment.AtMostOnce, first: shed, second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
 		{name: "a request that no endpoint ran is refused as not run", kind: deployment.AtMostOnce, first: shed, second: shed, status: 503, arrivals: 2},
-		{name: "one that runs once may have run where the connection broke", kind: deployment.AtMostOnce, first: hangUp, second: whole(200, "hi"), status: 502, arrivals: 1},
-		{name: "an idempotent request is tried again there", first: hangUp, second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
-		{name: "a refusal after a possible run is no promise", first: hangUp, second: shed, status: 502, arrivals: 2},
-		{name: "a 503 that does not say so is no promise", kind: deployment.AtMostOnce, first: whole(503, ""), status: 502, arrivals: 1},
-		{name: "an answer to another request reaches nobody", kind: deployment.AtMostOnce, first: raw(other), status: 502, arrivals: 1},
-		{name: "a success without its seal is none", kind: deployment.AtMostOnce, first: raw("HTTP/1.1 200 OK\r\n" + id + ": {id}\r\nContent-Length: 2\r\n\r\nhi"), status: 502, arrivals: 1},
-		{name: "an answer of another encoding is none", kind: deployment.AtMostOnce, first: whole(200, "hi", "Content-Encoding: gzip\r\n"), status: 502, arrivals: 1},
-		{name: "a body that ends early is no answer", kind: deployment.AtMostOnce, first: raw("HTTP/1.1 200 OK\r\n" + id + ": {id}\r\n" + seal + ": s\r\nContent-Length: 9\r\n\r\nhi"), status: 502, arrivals: 1},
-		{name: "bytes that are no answer reach nobody", kind: deployment.AtMostOnce, first: raw("garbage\r\n\r\n"), status: 502, arrivals: 1},
+		{name: "an at-most-once request may have run if the connection broke", kind: deployment.AtMostOnce, first: hangUp, second: whole(200, "hi"), status: 502, arrivals: 1},
+		{name: "an idempotent request is retried after a broken connection", first: hangUp, second: whole(200, "hi"), status: 200, body: "hi", arrivals: 2},
+		{name: "a refusal after a possible run does not prove that it did not run", first: hangUp, second: shed, status: 502, arrivals: 2},
+		{name: "a 503 without the not-run header does not prove that it did not run", kind: deployment.AtMostOnce, first: whole(503, ""), status: 502, arrivals: 1},
+		{name: "a response to another request is dropped", kind: deployment.AtMostOnce, first: raw(other), status: 502, arrivals: 1},
+		{name: "a success without the seal header is invalid", kind: deployment.AtMostOnce, first: raw("HTTP/1.1 200 OK\r\n" + id + ": {id}\r\nContent-Length: 2\r\n\r\nhi"), status: 502, arrivals: 1},
+		{name: "a response with a content encoding is invalid", kind: deployment.AtMostOnce, first: whole(200, "hi", "Content-Encoding: gzip\r\n"), status: 502, arrivals: 1},
+		{name: "a truncated body is invalid", kind: deployment.AtMostOnce, first: raw("HTTP/1.1 200 OK\r\n" + id + ": {id}\r\n" + seal + ": s\r\nContent-Length: 9\r\n\r\nhi"), status: 502, arrivals: 1},
+		{name: "bytes that are no HTTP response are dropped", kind: deployment.AtMostOnce, first: raw("garbage\r\n\r\n"), status: 502, arrivals: 1},
 		{name: "a body may end with its connection", first: raw("HTTP/1.1 200 OK\r\n" + id + ": {id}\r\n" + seal + ": s\r\n\r\nhi"), status: 200, body: "hi", arrivals: 1},
-		{name: "events are passed on", kind: deployment.Streaming, first: stream(3, "", true), status: 200, body: events(1, 3), arrivals: 1},
-		{name: "a stream that breaks off is cut", kind: deployment.Streaming, first: stream(2, "", false), status: 200, body: events(1, 2) + ": unknown: endpoint-broke-off; send it again only if it may run twice\n\n", cut: true, arrivals: 1},
-		{name: "a resumable one goes on elsewhere", kind: deployment.Resumable, first: stream(2, "", false), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
-		{name: "also where it breaks within an event", kind: deployment.Resumable, first: stream(2, "id: 3\nda", false), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
-		{name: "also where an event is missing", kind: deployment.Resumable, first: stream(2, event(4), true), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
+		{name: "events are forwarded", kind: deployment.Streaming, first: stream(3, "", true), status: 200, body: events(1, 3), arrivals: 1},
+		{name: "a stream whose connection breaks is cut", kind: deployment.Streaming, first: stream(2, "", false), status: 200, body: events(1, 2) + ": unknown: endpoint-broke-off; send it again only if it may run twice\n\n", cut: true, arrivals: 1},
+		{name: "a resumable stream continues elsewhere", kind: deployment.Resumable, first: stream(2, "", false), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
+		{name: "a resumable stream continues elsewhere after a break within an event", kind: deployment.Resumable, first: stream(2, "id: 3\nda", false), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
+		{name: "a resumable stream continues elsewhere after a missing event", kind: deployment.Resumable, first: stream(2, event(4), true), second: stream(4, "", true), status: 200, body: events(1, 4), arrivals: 2},
 		{
-			// Guards against this failure: a stream that is framed as complete and isn't, with a
-			// failure's body behind the events.
-			name: "a failure of the second ends the answer visibly", kind: deployment.Resumable,
+			// Guards against an incomplete stream that is framed as complete, with the
+			// body of the second endpoint's failure after the events.
+			name: "a failure of the second endpoint ends the response visibly", kind: deployment.Resumable,
 			first: stream(2, "", false), second: whole(500, "no"), status: 200, cut: true, arrivals: 2,
 			body: events(1, 2) + ": unknown: endpoint-broke-off; resume it with Last-Event-Id: 2\n\n",
 		},
@@ -332,11 +332,11 @@
 			if second == nil {
 				second = c.first
 			}
-			// Both endpoints play the same list, so that it doesn't matter
-			// which of them is asked first.
-			turns := &turns{replies: []reply{c.first, second}}
-			f := newFixture(t, deployment.Route{Kind: c.kind, Attempts: cmp.Or(c.attempts, 2)}, newEndpoint(t, turns.play), newEndpoint(t, turns.play))
-			a := f.ask(t, "/p/x", nil)
+			// Both endpoints share the list of replies, so that it doesn't matter
+			// which of them is tried first.
+			shared := &sharedReplies{replies: []reply{c.first, second}}
+			f := newFixture(t, deployment.Route{Kind: c.kind, Attempts: cmp.Or(c.attempts, 2)}, newEndpoint(t, shared.play), newEndpoint(t, shared.play))
+			a := f.post(t, "/p/x", nil)
 			require.Equal(t, c.status, a.status)
 			require.Equal(t, !c.cut, a.complete)
 			if c.status/100 == 2 || c.status == 500 {
@@ -353,22 +353,22 @@
 	}
 }
 
-// Guards against an answer that is too large to be held and loses its head on the way, or
-// looks complete where it is not.
-func TestLargeAnswers(t *testing.T) {
+// Guards against a response too large to buffer that loses its header on the way, or
+// looks complete when it is not.
+func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("x", 2<<20)
 	head := "HTTP/1.1 200 OK\r\n" + id + ": {id}\r\n" + seal + ": s\r\nContent-Type: text/x\r\n"
 	for name, test := range map[string]struct {
 		reply reply
 		whole bool
 	}{
-		"whole":                 {raw(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)), true},
-		"ends with its channel": {raw(head + "\r\n" + body), true},
-		"short":                 {raw(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body)+1, body)), false},
+		"whole":                    {raw(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)), true},
+		"ends with its connection": {raw(head + "\r\n" + body), true},
+		"short":                    {raw(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body)+1, body)), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, deployment.Route{Kind: deployment.Idempotent, Attempts: 2, Objective: time.Minute}, newEndpoint(t, test.reply), newEndpoint(t, test.reply))
-			a := f.ask(t, "/p/x", nil)
+			a := f.post(t, "/p/x", nil)
 			require.Equal(t, 200, a.status)
 			require.Equal(t, "s", a.header.Get(seal))
 			require.Equal(t, "text/x", a.header.Get("Content-Type"))
@@ -379,14 +379,14 @@
 	}
 }
 
-// turns is a list of replies that several endpoints play together.
-type turns struct {
+// sharedReplies is a list of replies that several endpoints use in turn.
+type sharedReplies struct {
 	mu      sync.Mutex
 	replies []reply
 	next    int
 }
 
-func (s *turns) play(c net.Conn, r *http.Request) bool {
+func (s *sharedReplies) play(c net.Conn, r *http.Request) bool {
 	s.mu.Lock()
 	play := s.replies[min(s.next, len(s.replies)-1)]
 	s.next++
@@ -394,13 +394,14 @@
 	return play(c, r)
 }
 
-// Guards against this failure: a caller gets 502 though an endpoint has answered.
-func TestOnlyEndpointIsTriedAgainAndItsFailureKept(t *testing.T) {
+// Guards against a 502 although an endpoint has responded: a service's only endpoint
+// is retried, and its first failure is the fallback.
+func TestOnlyEndpointIsRetriedWithFallback(t *testing.T) {
 	route := deployment.Route{Kind: deployment.Idempotent, Attempts: 2}
 	f := newFixture(t, route, newEndpoint(t, whole(500, "no"), whole(200, "hi")))
-	require.Equal(t, 200, f.ask(t, "/p/x", nil).status)
+	require.Equal(t, 200, f.post(t, "/p/x", nil).status)
 	f = newFixture(t, route, newEndpoint(t, whole(500, "no"), hangUp))
-	a := f.ask(t, "/p/x", nil)
+	a := f.post(t, "/p/x", nil)
 	require.Equal(t, 500, a.status)
 	require.Equal(t, "no", a.body)
 	require.Equal(t, "s", a.header.Get(seal))
@@ -416,23 +417,23 @@
 		{name: "no route", path: "/other/x", status: 404},
 		{name: "no key", path: "/k/x", status: 401},
 		{name: "unknown key", path: "/k/x", header: map[string]string{"Api-Key": "none"}, status: 401},
-		{name: "head too large", path: "/p/x", header: map[string]string{"Large": strings.Repeat("x", 9000)}, status: 431},
+		{name: "header too large", path: "/p/x", header: map[string]string{"Large": strings.Repeat("x", 9000)}, status: 431},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, deployment.Route{Attempts: 1}, newEndpoint(t, whole(200, "hi")))
-			require.Equal(t, c.status, f.ask(t, c.path, c.header).status)
+			require.Equal(t, c.status, f.post(t, c.path, c.header).status)
 			require.Zero(t, f.arrivals())
 		})
 	}
 }
 
-// Guards against this failure: a request runs for another account, or with the memory of
-// another request.
-func TestTrustedHeadersAreNeverACallers(t *testing.T) {
+// Guards against a request that runs for another account, or with another request's KV
+// cache, because the caller sets headers that only the fleet may set.
+func TestCallersTrustedHeadersAreDropped(t *testing.T) {
 	e := newEndpoint(t, whole(200, "hi"))
 	f := newFixture(t, deployment.Route{Attempts: 1}, e)
-	a := f.ask(t, "/k/x?a=%2F", map[string]string{
+	a := f.post(t, "/k/x?a=%2F", map[string]string{
 		"Api-Key": "key", "Account": "mine", "Fetch": "127.0.0.1:1", "Connection": id + ", Drop", "Drop": "1", "Keep": "2",
 		"Deadline-Ms": "1000",
 	})
@@ -451,8 +452,8 @@
 	require.Equal(t, "e0", got.Header.Get("Expect-Endpoint"))
 }
 
-// Guards against this failure: an endpoint works on for a caller who has gone.
-func TestCallerThatLeavesFreesTheEndpoint(t *testing.T) {
+// Guards against an endpoint that keeps working for a caller that has disconnected.
+func TestCallerDisconnectFreesTheEndpoint(t *testing.T) {
 	freed := make(chan struct{})
 	e := newEndpoint(t, func(c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c)
@@ -467,26 +468,27 @@
 		}
 		cancel()
 	}()
-	f.askFor(ctx, t, "/p/x", nil)
+	f.postContext(ctx, t, "/p/x", nil)
 	<-freed
 }
 
-// A silent endpoint is given up for another one where the request may run
-// again; where it may not, its caller gets an answer at the route's timeout.
+// A silent endpoint is abandoned for another one if the request may run again;
+// otherwise the caller gets a response at the route's timeout.
 func TestSilentEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		kind   deployment.Kind
 		status int
 	}{{deployment.Idempotent, 200}, {deployment.AtMostOnce, 504}} {
-		shared := &turns{replies: []reply{silent, whole(200, "hi")}}
+		shared := &sharedReplies{replies: []reply{silent, whole(200, "hi")}}
 		f := newFixture(t, deployment.Route{Kind: c.kind, Attempts: 2, Objective: 200 * time.Millisecond, Timeout: 600 * time.Millisecond},
 			newEndpoint(t, shared.play), newEndpoint(t, shared.play))
-		require.Equal(t, c.status, f.ask(t, "/p/x", nil).status)
+		require.Equal(t, c.status, f.post(t, "/p/x", nil).status)
 	}
 }
 
-// Guards against this failure: callers get 502 while a service is overloaded.
-func TestLateEndpointIsNotGivenUpWhereNoOtherHasRoom(t *testing.T) {
+// Guards against 502 responses while a service is overloaded, caused by abandoning a
+// slow endpoint when no other one has room.
+func TestSlowEndpointIsKeptIfNoOtherHasRoom(t *testing.T) {
 	const stalls = 3
 	objective := 200 * time.Millisecond
 	late := func(c net.Conn, r *http.Request) bool {
@@ -494,12 +496,13 @@
 		return whole(200, "hi")(c, r)
 	}
 	f := newFixture(t, deployment.Route{Kind: deployment.Idempotent, Attempts: 2, Objective: objective}, newEndpoint(t, late))
-	require.Equal(t, 200, f.ask(t, "/p/x", nil).status)
+	require.Equal(t, 200, f.post(t, "/p/x", nil).status)
 	require.Equal(t, 1, f.arrivals())
 }
 
-// Guards against this failure: in an overload callers wait twice.
-func TestBusyEndpointIsNotGivenUpAsSilent(t *testing.T) {
+// Guards against callers that wait twice in an overload: an endpoint with a queue is
+// abandoned as silent, and the request waits again elsewhere.
+func TestBusyEndpointIsNotAbandonedAsSilent(t *testing.T) {
 	objective := 200 * time.Millisecond
 	late := func(c net.Conn, r *http.Request) bool {
 		time.Sleep(objective * 3 / 4)
@@ -508,14 +511,14 @@
 	f := newFixture(t, deployment.Route{Kind: deployment.Idempotent, Attempts: 2, Objective: objective},
 		newEndpoint(t, whole(200, "hi", "Load: 4,6,4\r\n"), late), newEndpoint(t, whole(200, "hi", "Load: 4,6,4\r\n"), late))
 	for f.endpoints[0].count() == 0 || f.endpoints[1].count() == 0 {
-		f.ask(t, "/p/x", nil)
+		f.post(t, "/p/x", nil)
 	}
 	before := f.arrivals()
-	require.Equal(t, "late", f.ask(t, "/p/x", nil).body)
+	require.Equal(t, "late", f.post(t, "/p/x", nil).body)
 	require.Equal(t, before+1, f.arrivals())
 }
 
-// Guards against this failure: one request takes down one endpoint after the other.
+// Guards against one request that crashes one endpoint after another.
 func TestRequestThatCrashesEndpointsIsRefused(t *testing.T) {
 	f := newFixture(t, deployment.Route{Kind: deployment.AtMostOnce, Attempts: 1},
 		newEndpoint(t, hangUp), newEndpoint(t, hangUp), newEndpoint(t, hangUp), newEndpoint(t, hangUp))
@@ -526,21 +529,21 @@
 		}
 		return n
 	}
-	for f.ask(t, "/p/x", nil).status != 503 {
+	for f.post(t, "/p/x", nil).status != 503 {
 		require.LessOrEqual(t, ran(), 3)
 	}
 	require.Equal(t, 3, ran())
 	before := f.arrivals()
 	for range 6 {
-		require.Equal(t, 503, f.ask(t, "/p/x", nil).status)
+		require.Equal(t, 503, f.post(t, "/p/x", nil).status)
 	}
 	require.Equal(t, before, f.arrivals())
 }
 
-// Without a configuration nobody knows what is allowed.
+// Without a configuration the node cannot know what is allowed.
 func TestNoConfigurationRefusesAsNotRun(t *testing.T) {
 	h := gateway.New(gateway.Config{
-		Headers: headers(), Deployment: fixed{snapshot: &deployment.Snapshot{}}, Metrics: gateway.NewMetrics(), Stopping: func() bool { return false },
+		Headers: headers(), Deployment: staticDeployment{snapshot: &deployment.Snapshot{}}, Metrics: gateway.NewMetrics(), Stopping: func() bool { return false },
 	})
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/p/x", nil))
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -1,5 +1,5 @@
-// Package gateway passes callers' requests on to endpoints by the routes that
-// operators publish, and their answers back, unchanged.
+// Package gateway forwards callers' requests to endpoints along the routes that
+// operators publish, and returns the responses unchanged.
 package gateway
 
 import (
@@ -22,32 +22,33 @@
 )
 
 const (
-	// bodyTimeout bounds the reading of a body.
+	// bodyTimeout bounds the time to read a request's body.
 	bodyTimeout = 10 * time.Second
-	// maxHeld bounds the bodies held at once. A node has 284 MB in the
+	// maxHeldBytes bounds the bodies held at once. A node has 284 MB in the
 	// smallest installations, of which the process itself takes about 20.
-	maxHeld = 64 << 20
-	// answerMargin is how long before the caller's deadline its answer is sent.
+	maxHeldBytes = 64 << 20
+	// answerMargin is how long before the caller's deadline it gets a response.
 	answerMargin = 30 * time.Millisecond
-	// staleAfter is how old the configuration may be for the node to say that
+	// maxConfigAge is how old the configuration may be for the node to say that
 	// a route or key does not exist; the platform answers within milliseconds.
-	staleAfter = 25 * time.Second
+	maxConfigAge = 25 * time.Second
 )
 
 type (
-	// Deployment is what is known of the deployment.
+	// Deployment is the node's view of the deployment.
 	Deployment interface {
 		Snapshot() *deployment.Snapshot
-		// Configured is closed once a configuration is known.
+		// Configured returns a channel that is closed once a configuration is
+		// known.
 		Configured() <-chan struct{}
 		// Age returns how long ago the store last answered, and whether it
 		// ever did.
 		Age() (time.Duration, bool)
-		// Leaving notes that an endpoint has said that it leaves.
+		// Leaving records an endpoint's leave notice and where it came from.
 		Leaving(s deployment.Start, source string)
 	}
 
-	// Config is the settings of a Handler.
+	// Config holds the settings of a Handler.
 	Config struct {
 		Headers    Headers
 		Deployment Deployment
@@ -57,81 +58,85 @@
 		Crashes    *Crashes
 		Metrics    *Metrics
 		Log        *decision.Log
-		// Places reserves places at engines; nil if they know no reservations.
+		// Places reserves slots at engines; nil if they support no reservations.
 		Places Reserver
-		// Regions are those of the availability zones, by the zones' names.
+		// Regions maps the names of availability zones to their regions.
 		Regions map[string]string
 		// Nodes returns how many nodes there are.
 		Nodes func() int
-		// Peers returns what the node hears of others; nil for that they serve.
+		// Peers returns the state of the other nodes; nil means PeersServe.
 		Peers func() Peers
 		// Stopping reports whether the node is being stopped.
 		Stopping func() bool
 	}
 
-	// Handler serves callers.
+	// Handler serves callers' requests.
 	Handler struct {
-		config Config
-		places *places
-		mu     sync.Mutex
-		queues map[string]*admission.Queue
-		held   atomic.Int64
-		active atomic.Int64
+		config       Config
+		reservations *reservations
+		mu           sync.Mutex
+		queues       map[string]*admission.Queue
+		heldBytes    atomic.Int64
+		active       atomic.Int64
 	}
 
 	// call is one request of a caller.
 	call struct {
-		handler *Handler
-		out     http.ResponseWriter
-		in      *http.Request
-		id      string
-		config  *deployment.Config
-		route   *deployment.Route
-		account *deployment.Account
-		homes   residence
-		service deployment.Service
-		header  http.Header
-		body    []byte
-		// key names the part of the prompt that requests share.
-		key     string
-		prompt  balance.Prompt
+		handler   *Handler
+		out       http.ResponseWriter
+		in        *http.Request
+		id        string
+		config    *deployment.Config
+		route     *deployment.Route
+		account   *deployment.Account
+		residency residency
+		service   deployment.Service
+		header    http.Header
+		body      []byte
+		// promptKey names the part of the prompt that requests share.
+		promptKey string
+		prompt    balance.Prompt
+		// print is the request's fingerprint.
 		print   uint64
 		started time.Time
-		// deadline is when the caller must have its answer.
+		// deadline is when the caller must have its response.
 		deadline time.Time
 		progress progress
-		// kept is an endpoint's failure, for where nothing better comes.
-		kept *wholeAnswer
-		// reserved names the place that is reserved for the next attempt.
-		reserved string
+		// fallback is an endpoint's failure, sent if no attempt gets a better
+		// response.
+		fallback *bufferedResponse
+		// reservation names the reservation that the next attempt uses.
+		reservation string
 	}
 
-	// progress is what has become of a call so far.
+	// progress is the state of a call's attempts so far.
 	progress struct {
 		tried []deployment.Start
-		// sends counts endpoints that got the request, and runs those that may
-		// have run it.
+		// sends counts endpoints that received the request, and runs those that
+		// may have run it.
 		sends int
 		runs  int
-		// last is the newest event passed on, and events their number.
-		last    uint64
-		events  int
-		started bool
-		// excess says that its account asks for more than its measure.
+		// lastEvent is the ID of the newest event that the caller has, and events
+		// the number of events forwarded.
+		lastEvent uint64
+		events    int
+		started   bool
+		// excess says that its account is far above its usual request rate.
 		excess bool
-		// placed says that it has had a place.
-		placed bool
+		// admitted says that it has had a slot.
+		admitted bool
 		// full counts the reservations that engines refused.
 		full int
-		// lost says that an attempt got no answer at all.
-		lost   bool
+		// noResponse says that an attempt got no response at all.
+		noResponse bool
+		// reason is why the latest attempt failed.
 		reason string
 	}
 )
 
 // New returns a Handler.
 func New(c Config) *Handler {
-	return &Handler{config: c, places: newPlaces(c.Places), queues: map[string]*admission.Queue{}}
+	return &Handler{config: c, reservations: newReservations(c.Places), queues: map[string]*admission.Queue{}}
 }
 
 // Active returns the number of requests in progress.
@@ -153,12 +158,12 @@
 	if size < 0 {
 		size = c.config.Limits.BodyBytes
 	}
-	if h.held.Add(size) > maxHeld {
-		h.held.Add(-size)
-		c.refuse(notRun(reasonHeld, retrySoon))
+	if h.heldBytes.Add(size) > maxHeldBytes {
+		h.heldBytes.Add(-size)
+		c.refuse(notRun(reasonBodiesHeld, retrySoon))
 		return
 	}
-	defer h.held.Add(-size)
+	defer h.heldBytes.Add(-size)
 	if ref := c.read(); ref != nil {
 		c.refuse(ref)
 		return
@@ -174,7 +179,7 @@
 	if c.config = c.awaitConfig(); c.config == nil {
 		return c.unconfigured()
 	}
-	if c.config.Limits.HeaderBytes > 0 && size(c.in) > c.config.Limits.HeaderBytes {
+	if c.config.Limits.HeaderBytes > 0 && headerSize(c.in) > c.config.Limits.HeaderBytes {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeader}
 	}
 	if len(c.in.Header[h.config.Headers.RequestID]) > 1 || len(c.in.Header[h.config.Headers.APIKey]) > 1 {
@@ -193,31 +198,32 @@
 	if c.config.Limits.BodyBytes > 0 && c.in.ContentLength > c.config.Limits.BodyBytes {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonBody}
 	}
-	c.homes = reside(c.route, c.account)
-	c.deadline = c.started.Add(c.wait() - answerMargin)
+	c.residency = residencyOf(c.route, c.account)
+	c.deadline = c.started.Add(c.timeout() - answerMargin)
 	return nil
 }
 
-// denied refuses what the configuration does not allow. A configuration that
-// may long be replaced is no ground to say so for good.
+// denied refuses what the configuration does not allow. If the configuration is so
+// old that it may have been replaced, the caller is asked to retry instead.
 func (c *call) denied(status int, reason string) *refusal {
-	if age, _ := c.handler.config.Deployment.Age(); age > staleAfter {
+	if age, _ := c.handler.config.Deployment.Age(); age > maxConfigAge {
 		return notRun(reasonStale, retryLater)
 	}
 	return &refusal{status: status, reason: reason}
 }
 
-// wait is how long the caller waits, and the operator wants it kept waiting.
-func (c *call) wait() time.Duration {
-	wait, asked := c.route.Timeout, c.asked()
+// timeout returns how long the request may take: the route's timeout, or the
+// caller's if that is shorter.
+func (c *call) timeout() time.Duration {
+	wait, asked := c.route.Timeout, c.callerTimeout()
 	if wait == 0 || asked > 0 && asked < wait {
 		return asked
 	}
 	return wait
 }
 
-// asked is how long the caller says that it waits, 0 if it doesn't.
-func (c *call) asked() time.Duration {
+// callerTimeout returns how long the caller says that it waits, 0 if it doesn't.
+func (c *call) callerTimeout() time.Duration {
 	ms, err := strconv.ParseFloat(c.in.Header.Get(c.handler.config.Headers.Deadline), 64)
 	if err != nil || ms <= 0 {
 		return 0
@@ -225,8 +231,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// read takes the body, and what of the request decides where it goes. The body
-// is held whole: it may have to be sent again, and an endpoint must not be kept
+// read reads the body and what the choice of an endpoint depends on. The body is
+// buffered whole: it may have to be sent again, and an endpoint must not be kept
 // waiting by a slow caller.
 func (c *call) read() *refusal {
 	control := http.NewResponseController(c.out)
@@ -242,8 +248,8 @@
 	case err != nil:
 		return &refusal{status: http.StatusBadRequest, reason: reasonMalformed}
 	}
-	// Without the deadline, the server goes on to read, and so notices that the
-	// caller has gone.
+	// Without the deadline, the server keeps reading and so notices when the
+	// caller disconnects.
 	_ = control.SetReadDeadline(time.Time{})
 	c.body = body
 	name := ""
@@ -255,21 +261,21 @@
 	c.print = fingerprint(c.in.RequestURI, name, body)
 	c.service = c.config.Services[c.route.Service(rand.Float64())]
 	if c.route.Cached {
-		c.key, c.prompt = sharedPart(c.in.Header.Get(h.Model), c.in.Header.Get(h.Prompt))
+		c.promptKey, c.prompt = sharedPart(c.in.Header.Get(h.Model), c.in.Header.Get(h.Prompt))
 	}
 	if c.service.Model {
-		c.header.Set(h.Priority, strconv.Itoa(c.rank()))
+		c.header.Set(h.Priority, strconv.Itoa(c.enginePriority()))
 	}
 	last, err := strconv.ParseUint(c.in.Header.Get(h.LastEvent), 10, 64)
 	if err == nil {
-		c.progress.last = last
+		c.progress.lastEvent = last
 	}
 	return nil
 }
 
-// rank is the request's rank at an engine, from 0 to 9; the account's goes
-// before the route's.
-func (c *call) rank() int {
+// enginePriority returns the request's priority at an engine, from 0 to 9; the
+// account's takes precedence over the route's.
+func (c *call) enginePriority() int {
 	const ranks, last = 3, 9
 	account := 0
 	if c.account != nil {
@@ -278,13 +284,13 @@
 	return min(account*ranks+min(c.route.Priority, ranks-1), last)
 }
 
-// refuse answers a request that goes no further.
+// refuse ends a request with a refusal, or with the fallback if there is one.
 func (c *call) refuse(r *refusal) {
 	h := c.handler.config
 	h.Metrics.refused(r)
 	f := decision.Fields{"status": r.status, "reason": r.reason, "sends": c.progress.sends, "runs": c.progress.runs}
-	if r.after > 0 {
-		f["retry_after_ms"] = r.after.Milliseconds()
+	if r.retryAfter > 0 {
+		f["retry_after_ms"] = r.retryAfter.Milliseconds()
 	}
 	if c.progress.started {
 		f["cut"] = true
@@ -292,20 +298,20 @@
 	if age, known := h.Deployment.Age(); known {
 		f["confirmed_ms"] = age.Milliseconds()
 	}
-	if c.kept != nil && !c.progress.started {
-		f["status"], f["kept"] = c.kept.head.StatusCode, true
+	if c.fallback != nil && !c.progress.started {
+		f["status"], f["kept"] = c.fallback.head.StatusCode, true
 		c.log("refused", f)
-		c.pass(c.kept)
+		c.writeResponse(c.fallback)
 		return
 	}
 	c.log("refused", f)
 	if c.progress.started {
-		c.endEarly(r)
+		c.abort(r)
 	}
 	r.write(c.out)
 }
 
-// log writes a line about the request.
+// log logs an event of the request.
 func (c *call) log(event string, f decision.Fields) {
 	f["request"] = c.id
 	f["age_ms"] = time.Since(c.started).Milliseconds()
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -7,59 +7,61 @@
 )
 
 type (
-	// Headers are the names of the headers that say something to the gateway,
-	// in canonical form.
+	// Headers are the names of the headers that the gateway interprets, in
+	// canonical form.
 	Headers struct {
-		// RequestID names a request; the answer repeats it.
+		// RequestID identifies a request; the response repeats it.
 		RequestID string
 		// Deadline is how many milliseconds the caller waits.
 		Deadline string
 		APIKey   string
-		// Account tells an endpoint the client account's name.
+		// Account is the client account's name, sent to endpoints.
 		Account string
-		// Expect tells the address which endpoint is meant.
+		// Expect is the ID of the endpoint that a request is meant for; another
+		// process may be at its address.
 		Expect string
 		// Load is an endpoint's running and waiting requests and its slots.
 		Load string
-		// NotRun says in an answer that the request did not run.
+		// NotRun marks a response whose request did not run.
 		NotRun string
-		// Leaving says in an answer that the endpoint leaves.
+		// Leaving marks a response of an endpoint that is leaving.
 		Leaving string
-		// Rest says in a refusal for how many seconds the endpoint wants nothing
-		// from the node.
+		// Rest is, in a refusal, for how many seconds the endpoint wants no
+		// requests from the node.
 		Rest string
-		// Seal marks an endpoint's answer.
+		// Seal marks an endpoint's response.
 		Seal string
 		// Prompt lists the parts of a prompt, Tokens their count, and Model
-		// the model that is asked for.
+		// the model that is requested.
 		Prompt string
 		Tokens string
 		Model  string
-		// Priority is a request's rank at an engine.
+		// Priority is a request's priority at an engine.
 		Priority string
-		// LastEvent is the ID of the last event that arrived.
+		// LastEvent is the ID of the last event that was received.
 		LastEvent string
-		// Fetch names an endpoint from which a prompt's memory is fetched.
+		// Fetch is the address of an endpoint from which a prompt's KV cache is
+		// fetched.
 		Fetch string
 		// Reserved names the reservation that a request uses.
 		Reserved string
-		// Trusted are dropped from what callers send.
+		// Trusted headers are set by the fleet and dropped from callers' requests.
 		Trusted []string
 	}
 
-	// hopHeaders concern one connection only.
-	hopHeaders map[string]bool
+	// headerSet is a set of header names in canonical form.
+	headerSet map[string]bool
 )
 
-var hop = hopHeaders{
+var hopByHop = headerSet{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true,
 }
 
-// passed returns the headers that go on to the other side: all but those of one
-// connection, named by the standard or by the Connection header itself.
-func passed(from http.Header) http.Header {
+// endToEnd returns the headers that are forwarded: all but the hop-by-hop ones,
+// which the standard or the Connection header names.
+func endToEnd(from http.Header) http.Header {
 	named := map[string]bool{}
 	for _, list := range from["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -68,7 +70,7 @@
 	}
 	to := make(http.Header, len(from))
 	for name, values := range from {
-		if !hop[name] && !named[name] {
+		if !hopByHop[name] && !named[name] {
 			to[name] = values
 		}
 	}
@@ -77,10 +79,10 @@
 
 // forEndpoint returns a caller's headers as an endpoint gets them at every
 // attempt. Headers that the fleet sets itself are never taken from a caller: its
-// request could run for another account, or go on from the memory of another one.
+// request could run for another account, or continue from another one's KV cache.
 func (h Headers) forEndpoint(from http.Header, account string) http.Header {
-	to := passed(from)
-	// A name that the Connection header lists must not take these from a request.
+	to := endToEnd(from)
+	// These are kept even if the Connection header lists them.
 	for _, name := range []string{h.RequestID, h.Prompt, h.Tokens, h.Model, h.LastEvent} {
 		if v, ok := from[name]; ok {
 			to[name] = v
@@ -101,8 +103,8 @@
 	return to
 }
 
-// size is about what a request's head took on the wire.
-func size(r *http.Request) int {
+// headerSize returns about how many bytes a request's head took on the wire.
+func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,29 +9,29 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// metricPrefix starts the name of every metric.
+// metricPrefix is the prefix of every metric's name.
 const metricPrefix = "bulrushhinge_gateway_"
 
-// Metrics counts what a gateway does.
+// Metrics holds a gateway's metrics.
 type Metrics struct {
-	set       *metrics.Set
-	firstByte *metrics.Histogram
-	took      *metrics.Histogram
-	opened    *metrics.Counter
+	set         *metrics.Set
+	firstEvent  *metrics.Histogram
+	attemptTime *metrics.Histogram
+	opened      *metrics.Counter
 }
 
 // NewMetrics returns Metrics whose counters are 0.
 func NewMetrics() *Metrics {
 	s := metrics.NewSet()
 	return &Metrics{
-		set:       s,
-		firstByte: s.NewHistogram(metricPrefix + "first_event_seconds"),
-		took:      s.NewHistogram(metricPrefix + "attempt_seconds"),
-		opened:    s.NewCounter(metricPrefix + "connections_total"),
+		set:         s,
+		firstEvent:  s.NewHistogram(metricPrefix + "first_event_seconds"),
+		attemptTime: s.NewHistogram(metricPrefix + "attempt_seconds"),
+		opened:      s.NewCounter(metricPrefix + "connections_total"),
 	}
 }
 
-// Write writes all metrics as text.
+// Write writes all metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
 
 // Opened counts a new connection to an endpoint.
@@ -43,11 +43,11 @@
 
 func (m *Metrics) attempted(a *attempt, res result) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(metricPrefix+`attempts_total{result=%q}`, res)).Inc()
-	m.took.UpdateDuration(a.at)
+	m.attemptTime.UpdateDuration(a.started)
 	m.noticed(a.notice)
 }
 
-// noticed counts what an endpoint has said of itself in an answer.
+// noticed counts an endpoint's notices.
 func (m *Metrics) noticed(n Notice) {
 	if n.Leaving {
 		m.set.GetOrCreateCounter(metricPrefix + `notices_total{notice="leaving"}`).Inc()
@@ -68,4 +68,4 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(metricPrefix+`reservations_total{result=%q}`, result)).Inc()
 }
 
-func (m *Metrics) first(c *call) { m.firstByte.Update(time.Since(c.started).Seconds()) }
+func (m *Metrics) observeFirstEvent(c *call) { m.firstEvent.Update(time.Since(c.started).Seconds()) }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// leavingValue is what the header of a leaving endpoint holds.
+	// leavingValue is the value of the Leaving header of a leaving endpoint.
 	leavingValue = "1"
-	// sourceAnswer is the source of what an endpoint has said to this node.
+	// sourceAnswer is the source of a leave notice in an endpoint's response.
 	sourceAnswer = "answer"
 )
 
-// Notice is what an endpoint says of itself in an answer, beside the answer.
+// Notice is what an endpoint reports about itself in a response's headers.
 type Notice struct {
-	// Leaving says that it will end, and takes no new requests.
+	// Leaving says that it is shutting down and accepts no new requests.
 	Leaving bool
-	// Rest is for how long it wants nothing from this node, 0 if it does not say.
+	// Rest is the backoff that it asks of this node, 0 if it asks for none.
 	Rest time.Duration
 }
 
-// Notice reads what an endpoint says of itself in an answer.
+// Notice reads an endpoint's notice from a response.
 //
-// An answer that another process gave for the one that was asked says nothing of
-// that one.
+// With status 421 another process at the address has responded, which says nothing
+// about the endpoint that the request was meant for.
 func (h Headers) Notice(status int, header http.Header) Notice {
 	if status == http.StatusMisdirectedRequest {
 		return Notice{}
@@ -40,8 +40,8 @@
 	return n
 }
 
-// heed takes what an endpoint has said of itself in an answer.
-func (c *call) heed(e *deployment.Endpoint, n Notice) {
+// applyNotice passes an endpoint's notice to the deployment and the balancer.
+func (c *call) applyNotice(e *deployment.Endpoint, n Notice) {
 	h := c.handler.config
 	if n.Leaving {
 		h.Deployment.Leaving(e.Start(), sourceAnswer)
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Reasons of refusals and failures, as they stand in logs and metrics.
+// Reasons of refusals and failures, as they appear in responses, logs and metrics.
 const (
 	reasonNoConfig    = "no-config"
 	reasonStale       = "stale-config"
@@ -21,60 +21,60 @@
 	reasonNoEndpoint  = "no-endpoint"
 	reasonNotRun      = "endpoints-refused"
 	reasonBudget      = "retry-budget"
-	reasonPoison      = "crashes-endpoints"
+	reasonCrashes     = "crashes-endpoints"
 	reasonBroken      = "endpoint-broke-off"
 	reasonTimeout     = "timeout"
 	reasonUnreachable = "endpoints-unreachable"
-	reasonHeld        = "bodies-held"
+	reasonBodiesHeld  = "bodies-held"
 	reasonEvacuated   = "zones-evacuated"
-	reasonHomes       = "no-endpoint-in-homes"
+	reasonResidency   = "no-endpoint-in-homes"
 	reasonWithdrawn   = "endpoint-left"
 	reasonLeaving     = "endpoints-leaving"
-	reasonResting     = "endpoints-resting"
+	reasonBackoff     = "endpoints-resting"
 )
 
 const (
-	// returnShare is the part of the latency objective after which a caller is
-	// asked to come back where places are short: early enough for its answer to
-	// begin in time. Those that come back later are late, and take the places of
+	// retryShare is the share of the latency objective after which a caller is
+	// asked to retry while slots are scarce: early enough for its response to
+	// begin in time. Callers that retry later are late, and take the slots of
 	// others that would not be.
-	returnShare = 0.25
-	// retrySoon is when to come back where the node holds too much by itself, and
-	// retryLeast bounds any such time from below: a new connection takes some
-	// round trips.
-	retrySoon  = 200 * time.Millisecond
-	retryLeast = 10 * time.Millisecond
-	// retryLater is when to come back where the node itself must learn
-	// something first.
+	retryShare = 0.25
+	// retrySoon is the retry delay if this node holds too much, or has no
+	// configuration while other nodes serve. minRetryDelay is the lower bound of
+	// any retry delay: a new connection takes some round trips.
+	retrySoon     = 200 * time.Millisecond
+	minRetryDelay = 10 * time.Millisecond
+	// retryLater is the retry delay if the node itself needs a new configuration
+	// first.
 	retryLater = 500 * time.Millisecond
-	// returnLatest is the part of its time after which a caller at the latest
-	// comes back.
-	returnLatest = 1.0 / 3
+	// maxRetryShare is the share of a caller's remaining time after which it
+	// retries at the latest.
+	maxRetryShare = 1.0 / 3
 )
 
-// refusal is an answer of the gateway's own.
+// refusal is a response of the gateway itself.
 type refusal struct {
 	status int
 	reason string
-	// after is when to come back, for requests that did not run.
-	after time.Duration
+	// retryAfter is the retry delay, for requests that did not run.
+	retryAfter time.Duration
 }
 
 func (r *refusal) write(w http.ResponseWriter) {
-	if r.after > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(r.after.Seconds(), 'f', 3, 64))
+	if r.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	body := r.reason + "\n"
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(r.status)
-	// A caller that has gone needs no answer.
+	// An error means that the caller has disconnected.
 	_, _ = w.Write([]byte(body))
 }
 
 // notRun refuses a request that has not run and never will.
-func notRun(reason string, after time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: reason, after: after}
+func notRun(reason string, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
 // unknown ends a request that may have run.
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -12,105 +12,105 @@
 )
 
 const (
-	// reserveFor is how long a place is kept for a request that is on its way: a
-	// few round trips.
-	reserveFor = 300 * time.Millisecond
-	// reserveTokens is the memory that is asked for: engines make room for a
-	// running request by themselves, and what is set aside for longer than that
-	// drives out kept prompts.
+	// reservationTTL is how long a slot is reserved for a request that is on its
+	// way: a few round trips.
+	reservationTTL = 300 * time.Millisecond
+	// reserveTokens is the memory that is reserved: engines make room for a
+	// running request by themselves, and memory that is reserved for longer than
+	// that evicts cached prompts.
 	reserveTokens = 1
-	// reserveTimeout bounds the asking for a place: some round trips between
+	// reserveTimeout bounds the reservation of a slot: some round trips between
 	// availability zones.
 	reserveTimeout = 100 * time.Millisecond
-	// unreservedFor is how long an engine that takes no reservations is not asked
-	// for one again.
-	unreservedFor = 10 * time.Second
+	// unsupportedTTL is how long an engine that does not support reservations is
+	// not asked for one again.
+	unsupportedTTL = 10 * time.Second
 )
 
 var (
-	// ErrFull says that an endpoint has no place left.
+	// ErrFull is returned if an endpoint has no free slot.
 	ErrFull = errors.New("gateway: endpoint is full")
-	// ErrNoReservations says that an endpoint knows no reservations.
-	ErrNoReservations = errors.New("gateway: endpoint takes no reservations")
+	// ErrNoReservations is returned if an endpoint does not support reservations.
+	ErrNoReservations = errors.New("gateway: endpoint does not support reservations")
 )
 
 type (
-	// Reservation is a place at an engine.
+	// Reservation is a request to reserve a slot at an engine.
 	Reservation struct {
 		// Tokens is the memory that is kept free for the request.
 		Tokens int
-		// For is how long the place is kept.
+		// For is how long the slot is reserved.
 		For time.Duration
 	}
 
-	// Place is an engine's answer to a Reservation.
+	// Place is an engine's response to a Reservation.
 	Place struct {
-		// Name is the reservation's, empty where there is none.
+		// Name is the reservation's, empty if there is none.
 		Name string
-		// Notice is what the engine says of itself beside.
+		// Notice is the engine's notice in the response.
 		Notice Notice
 	}
 
-	// Reserver reserves places at engines.
+	// Reserver reserves slots at engines.
 	Reserver interface {
-		// Reserve returns the engine's answer, also beside ErrFull and
+		// Reserve returns the engine's response, also along with ErrFull and
 		// ErrNoReservations, or an error of the connection.
 		Reserve(ctx context.Context, e *deployment.Endpoint, r Reservation) (Place, error)
 	}
 
-	// places reserves places, but not at engines that take no reservations.
-	places struct {
+	// reservations knows which engines do not support reservations.
+	reservations struct {
 		reserver Reserver
 		mu       sync.Mutex
-		// without are the engines that take none, until the time given.
-		without map[deployment.Start]time.Time
+		// unsupported maps these engines to the time until which they are not asked.
+		unsupported map[deployment.Start]time.Time
 	}
 )
 
-func newPlaces(r Reserver) *places {
-	return &places{reserver: r, without: map[deployment.Start]time.Time{}}
+func newReservations(r Reserver) *reservations {
+	return &reservations{reserver: r, unsupported: map[deployment.Start]time.Time{}}
 }
 
-// takes reports whether an engine may take reservations.
-func (p *places) takes(e deployment.Start, now time.Time) bool {
-	if p.reserver == nil {
+// supported reports whether an engine may support reservations.
+func (r *reservations) supported(e deployment.Start, now time.Time) bool {
+	if r.reserver == nil {
 		return false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !now.Before(p.without[e])
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !now.Before(r.unsupported[e])
 }
 
-// refused notes that an engine takes no reservations.
-func (p *places) refused(e deployment.Start, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for old, until := range p.without {
+// markUnsupported records that an engine does not support reservations.
+func (r *reservations) markUnsupported(e deployment.Start, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for old, until := range r.unsupported {
 		if now.After(until) {
-			delete(p.without, old)
+			delete(r.unsupported, old)
 		}
 	}
-	p.without[e] = now.Add(unreservedFor)
+	r.unsupported[e] = now.Add(unsupportedTTL)
 }
 
-// reserve makes sure that the chosen engine has a place, and reports whether the
-// request may go there.
+// reserve reserves a slot at the chosen engine if it may be full, and reports
+// whether the request may be sent there.
 //
-// Nodes hear of each other's requests late. Where places are short, all nodes
-// that wait see the same place come free and send to it. Most of what they send
-// would wait at that engine, and could have waited here for the next place
-// anywhere. The engine itself knows, and gives each place once.
+// Nodes learn of each other's requests late. While slots are scarce, all nodes
+// with waiting requests see the same slot become free and send to it. Most of
+// these requests would wait at that engine, and could have waited here for the
+// next free slot of any engine. The engine itself grants each slot only once.
 func (c *call) reserve(ctx context.Context, choice *balance.Choice) bool {
 	h, start := c.handler.config, choice.Endpoint.Start()
-	if !c.service.Model || !choice.Scarce || !c.handler.places.takes(start, time.Now()) {
+	if !c.service.Model || !choice.Scarce || !c.handler.reservations.supported(start, time.Now()) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	place, err := h.Places.Reserve(ctx, choice.Endpoint, Reservation{Tokens: reserveTokens, For: reserveFor})
+	place, err := h.Places.Reserve(ctx, choice.Endpoint, Reservation{Tokens: reserveTokens, For: reservationTTL})
 	h.Metrics.reserved(err)
 	h.Metrics.noticed(place.Notice)
-	c.heed(choice.Endpoint, place.Notice)
+	c.applyNotice(choice.Endpoint, place.Notice)
 	if errors.Is(err, ErrFull) {
 		c.progress.full++
 		h.Balancer.Release(time.Now(), start, balance.Full)
@@ -123,13 +123,13 @@
 	}
 	if err != nil {
 		if errors.Is(err, ErrNoReservations) {
-			c.handler.places.refused(start, time.Now())
+			c.handler.reservations.markUnsupported(start, time.Now())
 		}
 		c.log("reserve.failed", decision.Fields{"endpoint": choice.Endpoint.ID, "error": err.Error()})
 	}
 	if err == nil {
 		h.Balancer.Takes(time.Now(), start)
 	}
-	c.reserved = place.Name
+	c.reservation = place.Name
 	return true
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	// maxTries bounds how many endpoints are tried for one request, those
-	// included that could not be reached or refused it.
+	// maxTries bounds how many endpoints are tried for one request, including
+	// those that could not be reached or refused it.
 	maxTries = 5
 )
 
 // Results of an attempt.
 const (
-	// resultDone says that the caller has its answer.
+	// resultDone means that the caller has its response.
 	resultDone result = iota
-	// resultNotSent says that the endpoint was not reached.
+	// resultNotSent means that the endpoint was not reached.
 	resultNotSent
-	// resultWithdrawn says that the endpoint got no request any more.
+	// resultWithdrawn means that the endpoint became unavailable before the send.
 	resultWithdrawn
-	// resultNotRun says that the endpoint did not run the request.
+	// resultNotRun means that the endpoint did not run the request.
 	resultNotRun
-	// resultBroken says that the request may have run, without an answer.
+	// resultBroken means that the request may have run, without a usable response.
 	resultBroken
-	// resultGone says that the caller has gone.
-	resultGone
-	// resultCut says that the caller has a part of an answer that cannot be resumed.
+	// resultCallerGone means that the caller has disconnected.
+	resultCallerGone
+	// resultCut means that the caller has part of a response that cannot be resumed.
 	resultCut
 )
 
 // result is how an attempt ended for the call.
 type result int
 
-// run tries endpoints until the caller has its answer, or cannot get one.
+// run tries endpoints until the caller has its response, or cannot get one.
 func (c *call) run(ctx context.Context) {
 	h := c.handler.config
-	if h.Crashes.Refuse(c.started, c.print) {
-		c.refuse(notRun(reasonPoison, time.Second))
+	if h.Crashes.Blocked(c.started, c.print) {
+		c.refuse(notRun(reasonCrashes, time.Second))
 		return
 	}
 	h.Budget.Request(c.started, c.service.Name)
-	c.progress.excess = c.queue().Asked(c.started, c.wanted())
+	c.progress.excess = c.queue().Asked(c.started, c.admissionRequest())
 	for try := 0; ; try++ {
-		choice, ref := c.place(ctx)
+		choice, ref := c.acquire(ctx)
 		if ref != nil {
 			c.refuse(ref)
 			return
 		}
 		res := c.attempt(ctx, choice)
-		if res == resultDone || res == resultGone {
+		if res == resultDone || res == resultCallerGone {
 			return
 		}
 		c.progress.tried = append(c.progress.tried, choice.Endpoint.Start())
-		if ref := c.again(ctx, res, try); ref != nil {
+		if ref := c.retry(ctx, res, try); ref != nil {
 			c.refuse(ref)
 			return
 		}
 	}
 }
 
-// again decides whether the request is tried once more; the refusal says why
-// not.
-func (c *call) again(ctx context.Context, res result, try int) *refusal {
+// retry returns nil if the request may be tried again, otherwise the refusal that
+// says why not.
+func (c *call) retry(ctx context.Context, res result, try int) *refusal {
 	switch res {
 	case resultNotSent:
 		c.progress.reason = reasonUnreachable
@@ -80,45 +80,45 @@
 		c.progress.reason = reasonBroken
 	}
 	if ctx.Err() != nil {
-		return c.given(reasonTimeout)
+		return c.giveUp(reasonTimeout)
 	}
 	if res == resultCut {
 		return unknown(reasonBroken)
 	}
 	if res == resultBroken && (!c.route.Kind.Repeats() || c.progress.runs >= c.route.Attempts) {
-		return c.given(reasonBroken)
+		return c.giveUp(reasonBroken)
 	}
 	if try+1 >= maxTries {
-		return c.given(c.progress.reason)
+		return c.giveUp(c.progress.reason)
 	}
 	if res != resultNotSent && res != resultWithdrawn && !c.handler.config.Budget.Repeat(time.Now(), c.service.Name) {
-		return c.given(reasonBudget)
+		return c.giveUp(reasonBudget)
 	}
 	return nil
 }
 
-// given is the answer to a request that is given up: that it did not run, only
-// if that is certain.
-func (c *call) given(reason string) *refusal {
+// giveUp returns the refusal of a request that is not tried again. It says that the
+// request did not run only if that is certain.
+func (c *call) giveUp(reason string) *refusal {
 	if c.progress.runs > 0 {
 		return unknown(reason)
 	}
-	return notRun(reason, max(time.Duration(returnShare*float64(c.route.Objective)), retryLeast))
+	return notRun(reason, max(time.Duration(retryShare*float64(c.route.Objective)), minRetryDelay))
 }
 
-// roomBeside reports whether an endpoint other than one has room for the call.
-func (c *call) roomBeside(s deployment.Start) bool {
+// otherHasRoom reports whether an endpoint other than s has room for the call.
+func (c *call) otherHasRoom(s deployment.Start) bool {
 	return c.handler.config.Balancer.Room(time.Now(), c.endpoints(), balance.Request{
-		Service: c.service, Key: c.key, Tried: append(slices.Clone(c.progress.tried), s),
+		Service: c.service, Key: c.promptKey, Tried: append(slices.Clone(c.progress.tried), s),
 	})
 }
 
-// gone reports whether the caller has left.
-func (c *call) gone() bool { return c.in.Context().Err() != nil }
+// callerGone reports whether the caller has disconnected.
+func (c *call) callerGone() bool { return c.in.Context().Err() != nil }
 
-// attempt sends the request to an endpoint and passes its answer on.
+// attempt sends the request to an endpoint and forwards the response.
 func (c *call) attempt(ctx context.Context, choice *balance.Choice) result {
-	a := &attempt{call: c, choice: choice, outcome: balance.Unknown, at: time.Now()}
+	a := &attempt{call: c, choice: choice, outcome: balance.Unknown, started: time.Now()}
 	res := resultBroken
 	defer func() {
 		c.handler.config.Balancer.Read(time.Now(), choice, 0)
@@ -131,13 +131,13 @@
 	return res
 }
 
-// status is a result's name in logs.
+// String returns the result's name in logs and metrics.
 func (r result) String() string {
 	return [...]string{"answered", "not-sent", "withdrawn", "not-run", "broken", "caller-gone", "cut"}[r]
 }
 
-// names returns the IDs of endpoints, for logs.
-func names(starts []deployment.Start) []string {
+// endpointIDs returns the IDs of endpoints, for logs.
+func endpointIDs(starts []deployment.Start) []string {
 	list := make([]string, len(starts))
 	for i, s := range starts {
 		list[i] = s.ID
--- /dev/null
+++ b/internal/gateway/stall.go
@@ -0,0 +1,105 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"bulrushhinge.example/bulrushhinge/internal/decision"
+)
+
+const (
+	// stallShare is the share of the latency objective after which an endpoint
+	// that has sent nothing is abandoned, if the request may be repeated: the
+	// other half suffices for a second attempt.
+	stallShare = 0.5
+	// streamStallShare is the same for a stream's first event, where a long queue
+	// is no fault.
+	streamStallShare = 1.5
+	// prefillFactor is how many times longer than expected an engine may take to
+	// read prompts.
+	prefillFactor = 2
+	// minStallTimeout is the lower bound of both stall timeouts.
+	minStallTimeout = 60 * time.Millisecond
+	// pauseFactor is how many times the route's longest wanted pause a resumable
+	// stream may be silent between two events.
+	pauseFactor = 2.0
+	// minPauseTimeout is the lower bound of that.
+	minPauseTimeout = 500 * time.Millisecond
+	// coldFactor is how many times longer a cold endpoint may be silent: it is slow,
+	// which is no sign of a fault.
+	coldFactor = 2
+)
+
+// stallTimeout returns after how long without a response the endpoint is
+// abandoned, 0 for never. A request that must not be repeated waits as long as its
+// caller.
+func (a *attempt) stallTimeout() time.Duration {
+	c := a.call
+	if !c.canRetry() {
+		return 0
+	}
+	share := stallShare
+	if c.route.Kind.Streams() {
+		share = streamStallShare
+	}
+	stall := max(time.Duration(share*float64(c.route.Objective)), minStallTimeout)
+	if a.choice.Cold {
+		return coldFactor * stall
+	}
+	return stall
+}
+
+// watch abandons a silent endpoint, unless no other one has room: in an overload
+// all of them respond late, and requests would be ended just before their response.
+// It returns nil for a request that must wait.
+func (a *attempt) watch(ctx context.Context, abandon func()) *time.Timer {
+	c, stall := a.call, a.stallTimeout()
+	if stall == 0 {
+		return nil
+	}
+	var timer *time.Timer
+	timer = time.AfterFunc(c.route.Timeout, func() {
+		if ctx.Err() != nil {
+			// The attempt has ended; the timer must not be restarted.
+			return
+		}
+		if !c.otherHasRoom(a.choice.Endpoint.Start()) || time.Since(a.started) < a.busyTimeout(stall) {
+			timer.Reset(stall)
+			return
+		}
+		a.timedOut.Store(true)
+		abandon()
+	})
+	timer.Reset(stall)
+	return timer
+}
+
+// busyTimeout returns how long an endpoint may be silent given its reported load: a
+// request that waits in its queue is no sign of a fault. If abandoned in an
+// overload, it would have to wait again elsewhere.
+//
+// Nor is a prompt that an engine has yet to read: a long one would be abandoned at
+// a slow engine, and read again from its beginning at the next.
+func (a *attempt) busyTimeout(stall time.Duration) time.Duration {
+	busy := a.call.handler.config.Balancer.Busy(time.Now(), a.choice.Endpoint, a.call.service)
+	return max(time.Duration(float64(stall)*max(busy, 1)), prefillFactor*a.choice.Reading)
+}
+
+// reportLoad reports an endpoint's load, the sum of its running and waiting
+// requests, to the balancer.
+func (a *attempt) reportLoad(header http.Header) {
+	h := a.call.handler.config
+	text := header.Get(h.Headers.Load)
+	if text == "" {
+		return
+	}
+	var running, waiting int
+	if n, err := fmt.Sscanf(text, "%d,%d", &running, &waiting); n < 2 || running < 0 || waiting < 0 {
+		a.call.log("load.bad", decision.Fields{"endpoint": a.choice.Endpoint.ID, "load": text, "error": fmt.Sprint(err)})
+		return
+	}
+	a.load = running + waiting
+	h.Balancer.Reported(time.Now(), a.choice.Endpoint.Start(), a.load)
+}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,113 +12,113 @@
 	"bulrushhinge.example/bulrushhinge/internal/sse"
 )
 
-// errOrder is returned for an event that does not follow the last one.
-var errOrder = errors.New("gateway: an event is missing")
+// errMissingEvent is returned for an event that does not follow the last one.
+var errMissingEvent = errors.New("gateway: an event is missing")
 
-// stream passes events on as they arrive. The caller's answer begins with the
-// first event, so that an endpoint which breaks off before it costs nothing.
+// stream forwards events as they arrive. The caller's response begins with the
+// first event, so that a connection that breaks before it costs nothing.
 //
-// Where the stream breaks and may be resumed, the call goes on at another
-// endpoint after the last event that was passed on whole; the caller sees one
-// answer, with the head of the first.
+// If the stream breaks and may be resumed, the call continues at another endpoint
+// after the last complete event that was forwarded; the caller sees one response,
+// with the header of the first.
 func (a *attempt) stream(x *http1.Exchange, timer *time.Timer) result {
 	c := a.call
 	events := sse.NewReader(x.Response.Body)
 	for {
 		ev, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return a.ended(x)
+			return a.finishStream(x)
 		}
 		if err == nil {
-			err = c.follows(ev)
+			err = c.checkOrder(ev)
 		}
 		if err != nil {
-			return a.brokeOff(err)
+			return a.interrupted(err)
 		}
 		if timer != nil {
-			timer.Reset(a.pause())
+			timer.Reset(a.pauseTimeout())
 		}
-		if a.first == 0 {
-			a.first = time.Since(a.at)
-			c.queue().Began(c.wanted(), a.first)
-			c.handler.config.Balancer.Read(time.Now(), a.choice, a.first)
+		if a.latency == 0 {
+			a.latency = time.Since(a.started)
+			c.queue().Began(c.admissionRequest(), a.latency)
+			c.handler.config.Balancer.Read(time.Now(), a.choice, a.latency)
 		}
-		if ev.Numbered && ev.ID <= c.progress.last && c.progress.events > 0 {
+		if ev.Numbered && ev.ID <= c.progress.lastEvent && c.progress.events > 0 {
 			continue
 		}
-		if err := c.passEvent(x.Response, ev); err != nil {
+		if err := c.writeEvent(x.Response, ev); err != nil {
 			a.cause = err.Error()
-			return resultGone
+			return resultCallerGone
 		}
 	}
 }
 
-// pause is how long a resumable stream may be silent.
-func (a *attempt) pause() time.Duration {
-	return max(time.Duration(pauseStall*float64(a.call.route.Pause)), minPause)
+// pauseTimeout returns how long a resumable stream may be silent.
+func (a *attempt) pauseTimeout() time.Duration {
+	return max(time.Duration(pauseFactor*float64(a.call.route.Pause)), minPauseTimeout)
 }
 
-// follows checks that no event is missing before this one.
-func (c *call) follows(ev sse.Event) error {
-	if ev.Numbered && c.progress.last > 0 && ev.ID > c.progress.last+1 {
-		return errOrder
+// checkOrder returns an error if an event is missing before this one.
+func (c *call) checkOrder(ev sse.Event) error {
+	if ev.Numbered && c.progress.lastEvent > 0 && ev.ID > c.progress.lastEvent+1 {
+		return errMissingEvent
 	}
 	return nil
 }
 
-// passEvent writes one event to the caller.
-func (c *call) passEvent(head *http.Response, ev sse.Event) error {
+// writeEvent writes one event to the caller.
+func (c *call) writeEvent(head *http.Response, ev sse.Event) error {
 	if !c.progress.started {
-		c.copyHead(head)
+		c.copyHeader(head)
 		c.out.WriteHeader(head.StatusCode)
 		c.progress.started = true
-		c.handler.config.Metrics.first(c)
+		c.handler.config.Metrics.observeFirstEvent(c)
 	}
 	if _, err := c.out.Write(ev.Raw); err != nil {
 		return err
 	}
 	if ev.Numbered {
-		c.progress.last = ev.ID
+		c.progress.lastEvent = ev.ID
 	}
 	c.progress.events++
 	return http.NewResponseController(c.out).Flush()
 }
 
-// ended ends the caller's answer after the endpoint's.
-func (a *attempt) ended(x *http1.Exchange) result {
+// finishStream ends the caller's response after the endpoint's stream has ended.
+func (a *attempt) finishStream(x *http1.Exchange) result {
 	c := a.call
 	if !c.progress.started {
-		c.copyHead(x.Response)
+		c.copyHeader(x.Response)
 		c.out.WriteHeader(x.Response.StatusCode)
 		c.progress.started = true
 	}
 	a.outcome = balance.Served
-	c.handler.config.Crashes.Served(c.print)
+	c.handler.config.Crashes.Forget(c.print)
 	x.Finish()
 	return resultDone
 }
 
-// endEarly ends an answer of which the caller already has a part. A stream's last line,
-// a comment, says that the rest is unknown and what to do: events are the endpoint's
-// alone. Only the broken connection tells any caller that the rest will not come.
-func (c *call) endEarly(r *refusal) {
+// abort ends a response of which the caller already has a part. A stream's last line
+// says that the rest is unknown and what to do; it is a comment, as only endpoints
+// send events. Only the aborted connection tells every caller that no more will come.
+func (c *call) abort(r *refusal) {
 	if c.route.Kind.Streams() {
 		advice := "send it again only if it may run twice"
 		if c.route.Kind.Repeats() {
-			advice = fmt.Sprintf("resume it with %s: %d", c.handler.config.Headers.LastEvent, c.progress.last)
+			advice = fmt.Sprintf("resume it with %s: %d", c.handler.config.Headers.LastEvent, c.progress.lastEvent)
 		}
-		// A caller that has gone needs no advice.
+		// An error means that the caller has disconnected.
 		_, _ = fmt.Fprintf(c.out, ": unknown: %s; %s\n\n", r.reason, advice)
 		_ = http.NewResponseController(c.out).Flush()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// brokeOff sorts the end of a stream that is not complete.
-func (a *attempt) brokeOff(err error) result {
+// interrupted returns the result of a stream that ended before it was complete.
+func (a *attempt) interrupted(err error) result {
 	a.cause = a.explain(err)
-	if a.call.gone() {
-		return resultGone
+	if a.call.callerGone() {
+		return resultCallerGone
 	}
 	a.outcome = balance.Failed
 	return resultBroken
--- a/internal/gateway/unconfigured.go
+++ b/internal/gateway/unconfigured.go
@@ -9,38 +9,38 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// What a node hears of others.
+// States of the other nodes, as far as this node knows.
 const (
-	// PeersServe says that another node takes callers.
+	// PeersServe means that another node serves callers.
 	PeersServe Peers = iota
-	// PeersStart says that there are others, and that none of them knows a
+	// PeersStart means that there are other nodes, but none of them has a
 	// configuration.
 	PeersStart
-	// PeersSilent says that the node hears of no other.
+	// PeersSilent means that no other node is known to be alive.
 	PeersSilent
 )
 
 const (
-	// configWait is how long a request waits for the first configuration where
-	// other nodes serve: one that has just started reads it within milliseconds.
-	configWait = 50 * time.Millisecond
-	// startShare is the part of its caller's time for which it waits where no node
-	// of the fleet knows one.
-	startShare = 0.25
-	// maxEarly bounds a body that is read before the configuration is known.
-	maxEarly = 1 << 20
+	// minConfigWait is how long a request waits for the first configuration if
+	// other nodes serve: a node that has just started reads it within milliseconds.
+	minConfigWait = 50 * time.Millisecond
+	// configWaitShare is the share of its caller's timeout for which it waits if no
+	// node of the fleet has one.
+	configWaitShare = 0.25
+	// maxEarlyBody bounds a body that is read before the configuration is known.
+	maxEarlyBody = 1 << 20
 )
 
-// Peers is what a node hears of others.
+// Peers is the state of the other nodes, as far as this node knows.
 type Peers int
 
 // awaitConfig returns the configuration, or nil if none is known in time.
 //
-// After all nodes were killed while the store is away, each of them knows that it
-// lives, and nothing else. Were callers refused then, those that have come back
-// once already would be lost, and the others would come back to the same refusal.
-// Those whose time allows it wait for the store; a node that alone knows nothing
-// sends them elsewhere.
+// If all nodes are killed while the store is unavailable, they restart without a
+// configuration. Were callers refused then, those that have retried once already
+// would be lost, and the others would retry into the same refusal. Those with
+// enough time wait for the store; if only this node has no configuration, it sends
+// them elsewhere.
 func (c *call) awaitConfig() *deployment.Config {
 	d := c.handler.config.Deployment
 	if config := d.Snapshot().Config; config != nil {
@@ -51,23 +51,23 @@
 	if !ok {
 		return nil
 	}
-	patience := time.NewTimer(c.configPatience())
-	defer patience.Stop()
+	timer := time.NewTimer(c.configTimeout())
+	defer timer.Stop()
 	select {
 	case <-d.Configured():
-	case <-patience.C:
+	case <-timer.C:
 	case <-c.in.Context().Done():
 	}
 	return d.Snapshot().Config
 }
 
-// configPatience is how long a request waits for the first configuration. Once it
-// waits, it is no matter that others have found one: this node will be told.
-func (c *call) configPatience() time.Duration {
+// configTimeout returns how long a request waits for the first configuration. The
+// wait is not shortened if other nodes find one, as this node will then get it too.
+func (c *call) configTimeout() time.Duration {
 	if c.peers() == PeersStart {
-		return max(time.Duration(startShare*float64(c.asked())), configWait)
+		return max(time.Duration(configWaitShare*float64(c.callerTimeout())), minConfigWait)
 	}
-	return configWait
+	return minConfigWait
 }
 
 func (c *call) peers() Peers {
@@ -77,23 +77,23 @@
 	return c.handler.config.Peers()
 }
 
-// readEarly takes the body of a request that is to wait: callers leave a node that
-// does not read. It reports whether it could; the body counts as held until it is
-// released.
+// readEarly reads the body of a request that is to wait: callers leave a node that
+// does not read. It reports whether it succeeded; the body counts as held until
+// release is called.
 func (c *call) readEarly() (release func(), ok bool) {
 	h := c.handler
 	size := c.in.ContentLength
 	if size < 0 {
-		size = maxEarly
+		size = maxEarlyBody
 	}
-	release = func() { h.held.Add(-size) }
-	if held := h.held.Add(size); held > maxHeld || size > maxEarly {
+	release = func() { h.heldBytes.Add(-size) }
+	if held := h.heldBytes.Add(size); held > maxHeldBytes || size > maxEarlyBody {
 		return release, false
 	}
 	control := http.NewResponseController(c.out)
-	// What cannot set deadlines is no connection, and needs none.
+	// A writer that cannot set deadlines is no connection, and needs none.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(c.out, c.in.Body, maxEarly))
+	body, err := io.ReadAll(http.MaxBytesReader(c.out, c.in.Body, maxEarlyBody))
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return release, false
@@ -102,15 +102,15 @@
 	return release, true
 }
 
-// unconfigured refuses a request that comes before the first configuration.
+// unconfigured refuses a request that arrives before the first configuration.
 //
-// Where other nodes serve, the caller finds one of them soon. Else nobody knows
-// for how long, and callers come back once or twice: so they come back as late as
-// they are willing to.
+// If other nodes serve, the caller soon finds one of them. Otherwise the length of
+// the outage is unknown and callers retry only once or twice, so they are asked to
+// retry as late as they are willing to.
 func (c *call) unconfigured() *refusal {
 	if c.peers() == PeersServe {
 		return notRun(reasonNoConfig, retrySoon)
 	}
-	left := c.asked() - time.Since(c.started)
-	return notRun(reasonNoConfig, max(time.Duration(returnLatest*float64(left)), retryLater))
+	left := c.callerTimeout() - time.Since(c.started)
+	return notRun(reasonNoConfig, max(time.Duration(maxRetryShare*float64(left)), retryLater))
 }
--- a/internal/gateway/unconfigured_test.go
+++ b/internal/gateway/unconfigured_test.go
@@ -27,7 +27,7 @@
 
 func (s *starting) Configured() <-chan struct{} { return s.configured }
 
-// Age implements gateway.Deployment: all is new.
+// Age implements gateway.Deployment: the configuration is current.
 func (*starting) Age() (time.Duration, bool) { return 0, true }
 
 // Leaving implements gateway.Deployment.
@@ -45,27 +45,27 @@
 	return s
 }
 
-// Guards against this failure: most requests of the seconds after all nodes were killed are
-// refused twice and lost.
-func TestCallersBeforeTheFirstConfiguration(t *testing.T) {
+// Guards against most requests being refused twice, and so lost, in the seconds after
+// all nodes were killed.
+func TestRequestsBeforeTheFirstConfiguration(t *testing.T) {
 	cases := []struct {
 		name     string
 		peers    gateway.Peers
 		deadline string
 		// known is when the configuration becomes known.
 		known time.Duration
-		// status is 404 where the configuration was awaited: it has no route.
+		// status is 404 if the request got the configuration: it has no route.
 		status int
 		took   time.Duration
 		after  float64
 	}{
-		{name: "read within milliseconds", deadline: "12000", known: 20 * time.Millisecond, status: 404, took: 20 * time.Millisecond},
+		{name: "the configuration is read within milliseconds", deadline: "12000", known: 20 * time.Millisecond, status: 404, took: 20 * time.Millisecond},
 		{name: "another node serves", deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 0.2},
-		{name: "all others start too", peers: gateway.PeersStart, deadline: "12000", known: 1200 * time.Millisecond, status: 404, took: 1200 * time.Millisecond},
-		{name: "for longer than the caller may wait", peers: gateway.PeersStart, deadline: "12000", known: time.Minute, status: 503, took: 3 * time.Second, after: 3},
+		{name: "all others are starting", peers: gateway.PeersStart, deadline: "12000", known: 1200 * time.Millisecond, status: 404, took: 1200 * time.Millisecond},
+		{name: "all others are starting for longer than the caller may wait", peers: gateway.PeersStart, deadline: "12000", known: time.Minute, status: 503, took: 3 * time.Second, after: 3},
 		{name: "a caller with little time", peers: gateway.PeersStart, deadline: "1000", known: time.Second, status: 503, took: 250 * time.Millisecond, after: 0.5},
 		{name: "a caller that does not say how long", peers: gateway.PeersStart, known: time.Second, status: 503, took: 50 * time.Millisecond, after: 0.5},
-		{name: "nobody is heard of", peers: gateway.PeersSilent, deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 3.983},
+		{name: "no other node is alive", peers: gateway.PeersSilent, deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 3.983},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
