--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -70,7 +70,7 @@
 	}
 	x, err := pool.Do(ctx, http1.Request{
 		Addr: a.choice.Endpoint.Addr, Process: a.choice.Endpoint.Start().Key(), ID: c.id, HTTP: a.request(),
-		Idle: c.maxIdle(), Keep: c.maxIdleConns(), Go: func() bool { return c.available(a.choice.Endpoint) },
+		Idle: c.maxIdle(), Keep: c.maxIdleConns(), MaySend: func() bool { return c.available(a.choice.Endpoint) },
 	})
 	if err != nil {
 		return a.classify(err)
@@ -176,7 +176,7 @@
 	}
 	a.outcome = balance.Failed
 	c.progress.noResponse = c.progress.noResponse || a.status == 0
-	if http1.IsCut(err) {
+	if http1.IsClosedByPeer(err) {
 		c.handler.config.Crashes.Report(time.Now(), c.print, a.choice.Endpoint.Start())
 	}
 	return resultBroken
@@ -201,7 +201,7 @@
 // not trusted.
 func (a *attempt) notRun(x *http1.Exchange) result {
 	h := a.call.handler.config.Headers
-	if !x.Fresh && x.Response.Header.Get(h.RequestID) != a.call.id {
+	if !x.NewConn && x.Response.Header.Get(h.RequestID) != a.call.id {
 		a.outcome, a.cause = balance.Failed, "unnamed-refusal"
 		return resultBroken
 	}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// readBuffer holds an answer's header and the first events.
+	// readBuffer holds a response's header and the first events.
 	readBuffer = 4 << 10
-	// ConnectTimeout bounds a new connection: an endpoint takes one within a
-	// millisecond or two, and drops the opening packet while its queue is full.
+	// ConnectTimeout bounds opening a connection: an endpoint accepts one within a
+	// millisecond or two, and drops the SYN packet while its queue is full.
 	ConnectTimeout = 400 * time.Millisecond
-	// unackedTimeout is after how long without acknowledgement a connection
-	// counts as dead.
+	// unackedTimeout is after how long without acknowledgement a connection is
+	// considered dead.
 	unackedTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
 )
 
 var (
-	// ErrConnect is returned where no connection was made: nothing was sent.
+	// ErrConnect is returned if no connection was opened: nothing was sent.
 	ErrConnect = errors.New("http1: no connection")
-	// ErrBroken is returned where a connection broke, or gave bytes that are
-	// no answer, after a request was sent on it.
+	// ErrBroken is returned if a connection broke, or received bytes that are not
+	// the request's response, after a request was sent on it.
 	ErrBroken = errors.New("http1: connection broke")
-	// ErrWithdrawn is returned where the request was no longer to be sent once a
+	// ErrWithdrawn is returned if the request was no longer to be sent once a
 	// connection was open.
 	ErrWithdrawn = errors.New("http1: request withdrawn")
 )
@@ -44,17 +44,17 @@
 	reader *bufio.Reader
 	// used says that an exchange has ended on it.
 	used bool
-	// since is when the last exchange ended.
-	since time.Time
-	// rested is how long it had been idle when it was last taken.
-	rested time.Duration
-	// idle is how long the endpoint keeps the connection.
-	idle time.Duration
+	// lastUsed is when the last exchange ended.
+	lastUsed time.Time
+	// idleFor is how long it had been idle when it was last taken from the pool.
+	idleFor time.Duration
+	// idleTimeout is how long the endpoint keeps the connection open when unused.
+	idleTimeout time.Duration
 }
 
-// Dialer returns a dialer whose connections show a silent peer within seconds.
+// Dialer returns a dialer whose connections detect a dead peer within seconds.
 //
-// Connections may fall silent for good without a reset. Probes show it within
+// A peer may become unreachable without a reset. Keep-alive probes detect it within
 // three seconds, unacknowledged data earlier.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
@@ -88,29 +88,29 @@
 	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer)}, nil
 }
 
-// quiet reports whether the connection is open and has nothing to read. Bytes
-// that wait on an idle connection belong to no request.
-func (c *conn) quiet() bool {
+// clean reports whether the connection is open and has nothing to read. Bytes that
+// are pending on an idle connection belong to no request.
+func (c *conn) clean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	quiet := false
+	clean := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		clean = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && clean
 }
 
 // usable reports whether the connection may carry a further exchange.
 func (c *conn) usable(now time.Time) bool {
-	return now.Sub(c.since) < c.idle && c.quiet()
+	return now.Sub(c.lastUsed) < c.idleTimeout && c.clean()
 }
 
-// answer reads the next answer's head.
-func (c *conn) answer(req *http.Request) (*http.Response, error) {
+// readResponse reads the next response's header, skipping informational ones.
+func (c *conn) readResponse(req *http.Request) (*http.Response, error) {
 	resp, err := http.ReadResponse(c.reader, req)
 	for err == nil && resp.StatusCode/100 == 1 {
 		resp, err = http.ReadResponse(c.reader, req)
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// maxStray is how many answers to other requests are passed over while the
-	// own one is awaited: an endpoint may answer an earlier request twice.
-	maxStray = 2
-	// maxStrayBody bounds the body of such an answer.
-	maxStrayBody = 64 << 10
-	// inlineBody is the largest body that is written before the answer is
-	// awaited: with its head it fits a socket's buffer of 16 KiB, so that the
-	// writing does not wait for an endpoint that answers before it reads.
-	inlineBody = 4 << 10
-	// writeGrace is how long an answered request may still be on its way out.
-	// A goroutine waits for its turn for less than that, also on a busy machine.
+	// maxStale is how many responses to other requests are skipped while waiting
+	// for the request's own: an endpoint may respond to an earlier request twice.
+	maxStale = 2
+	// maxStaleBody bounds the body of such a response.
+	maxStaleBody = 64 << 10
+	// maxInlineBody is the largest body that is written before the response is
+	// awaited: with its header it fits a socket buffer of 16 KiB, so that the
+	// write does not block on an endpoint that responds before it reads.
+	maxInlineBody = 4 << 10
+	// writeGrace is how long a request may still be being written after its
+	// response. A goroutine is scheduled within that time, even on a busy machine.
 	writeGrace = 100 * time.Millisecond
 )
 
@@ -35,46 +35,46 @@
 	// Request is one request to an endpoint.
 	Request struct {
 		Addr netip.AddrPort
-		// Process tells apart the processes that are at the address one after
-		// another; connections to another one are not used.
+		// Process identifies one of the processes that use the address one after
+		// another; connections to the others are not used.
 		Process uint32
-		// ID is the request's ID, which the answer must name.
+		// ID is the request's ID, which the response must repeat.
 		ID string
-		// HTTP is what is sent; its body must be of known length.
+		// HTTP is the request to send; its body must be of known length.
 		HTTP *http.Request
-		// Idle is for how long a kept connection may have been idle; longer
-		// idle ones are passed over, and with 0 all.
+		// Idle is for how long a reused connection may have been idle; with 0, a
+		// new connection is opened.
 		Idle time.Duration
-		// Keep is how many idle connections may be kept to the endpoint, with 0
-		// some.
+		// Keep is how many idle connections may be kept to the endpoint; with 0,
+		// the pool's default holds.
 		Keep int
-		// Go is asked once a connection is open, and reports whether the request
-		// may still be sent; nil for yes.
-		Go func() bool
+		// MaySend is called once a connection is open, and reports whether the
+		// request may still be sent; nil means yes.
+		MaySend func() bool
 	}
 
-	// Exchange is a request that was sent, and its answer.
+	// Exchange is a request that was sent, and its response.
 	Exchange struct {
 		Response *http.Response
-		// Fresh says that no other exchange had used the connection.
-		Fresh bool
+		// NewConn says that no other exchange had used the connection.
+		NewConn bool
 
-		pool *Pool
-		peer peer
-		most int
-		conn *conn
-		stop func() bool
-		// wrote tells how the writing of the request ended.
-		wrote chan error
-		ended atomic.Bool
-		// framed says that the answer's end is marked by its length or a last
-		// chunk, rather than by the connection's end.
+		pool         *Pool
+		peer         peer
+		maxIdleConns int
+		conn         *conn
+		stop         func() bool
+		// writeErr receives the result of writing the request.
+		writeErr chan error
+		ended    atomic.Bool
+		// framed says that the response's end is marked by its length or a final
+		// chunk rather than by the end of the connection.
 		framed bool
 	}
 )
 
-// Do sends a request and waits for the answer's head. ErrConnect and ErrWithdrawn
-// say that nothing was sent; after every other error the request may have run. The end
+// Do sends a request and waits for the response's header. ErrConnect and ErrWithdrawn
+// mean that nothing was sent; after any other error the request may have run. The end
 // of ctx closes the connection, which tells the endpoint to stop.
 func (p *Pool) Do(ctx context.Context, r Request) (*Exchange, error) {
 	to := peer{addr: r.Addr, process: r.Process}
@@ -85,21 +85,21 @@
 			return nil, err
 		}
 	}
-	if r.Go != nil && !r.Go() {
+	if r.MaySend != nil && !r.MaySend() {
 		_ = c.Close()
 		return nil, ErrWithdrawn
 	}
-	x := &Exchange{pool: p, peer: to, most: cmp.Or(r.Keep, maxKept), conn: c, Fresh: !c.used, wrote: make(chan error, 1)}
+	x := &Exchange{pool: p, peer: to, maxIdleConns: cmp.Or(r.Keep, defaultMaxIdleConns), conn: c, NewConn: !c.used, writeErr: make(chan error, 1)}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-	if r.HTTP.ContentLength <= inlineBody {
-		x.wrote <- r.HTTP.Write(c)
+	if r.HTTP.ContentLength <= maxInlineBody {
+		x.writeErr <- r.HTTP.Write(c)
 	} else {
-		go func() { x.wrote <- r.HTTP.Write(c) }()
+		go func() { x.writeErr <- r.HTTP.Write(c) }()
 	}
 	resp, err := x.await(r)
 	if err != nil {
-		if !x.Fresh && ctx.Err() == nil && IsCut(err) {
-			p.forgotten(c.rested)
+		if !x.NewConn && ctx.Err() == nil && IsClosedByPeer(err) {
+			p.lowerIdleLimit(c.idleFor)
 		}
 		x.Abort()
 		return nil, err
@@ -109,32 +109,32 @@
 	return x, nil
 }
 
-// await reads answers until one names the request.
+// await reads responses until one repeats the request's ID.
 //
-// An endpoint may send an answer twice, or late: it then stands where the next
-// answer on that connection is expected. The request's ID tells them apart.
+// An endpoint may send a response twice, or late: it is then received where the next
+// response on that connection is expected. The request's ID tells them apart.
 func (x *Exchange) await(r Request) (*http.Response, error) {
-	for range maxStray + 1 {
-		resp, err := x.conn.answer(r.HTTP)
+	for range maxStale + 1 {
+		resp, err := x.conn.readResponse(r.HTTP)
 		if err != nil {
 			return nil, err
 		}
 		id := resp.Header.Get(x.pool.config.RequestID)
-		if id == r.ID || (id == "" && x.Fresh) {
+		if id == r.ID || (id == "" && x.NewConn) {
 			return resp, nil
 		}
-		if x.Fresh {
-			return nil, fmt.Errorf("%w: answer of another request", ErrBroken)
+		if x.NewConn {
+			return nil, fmt.Errorf("%w: response to another request", ErrBroken)
 		}
-		if _, err := io.CopyN(io.Discard, resp.Body, maxStrayBody); !errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("%w: answer of another request", ErrBroken)
+		if _, err := io.CopyN(io.Discard, resp.Body, maxStaleBody); !errors.Is(err, io.EOF) {
+			return nil, fmt.Errorf("%w: response to another request", ErrBroken)
 		}
 	}
-	return nil, fmt.Errorf("%w: answers of other requests", ErrBroken)
+	return nil, fmt.Errorf("%w: responses to other requests", ErrBroken)
 }
 
-// Finish ends an exchange whose answer has been read to its end. The connection
-// is kept if it may be used again.
+// Finish ends an exchange whose response has been read to its end. The connection
+// is returned to the pool if it may be reused.
 func (x *Exchange) Finish() {
 	if !x.ended.CompareAndSwap(false, true) {
 		return
@@ -144,38 +144,38 @@
 		return
 	}
 	select {
-	case err := <-x.wrote:
-		x.settle(err)
+	case err := <-x.writeErr:
+		x.recycle(err)
 	default:
 		go x.awaitWrite()
 	}
 }
 
-// awaitWrite settles an exchange that was answered before its request counts as
-// written: the goroutine that writes it may not have had its turn yet, or the
-// endpoint has not read it all.
+// awaitWrite recycles the connection of an exchange whose response came before the
+// request was known to be written: its goroutine may not have been scheduled yet, or
+// the endpoint has not read all of the request.
 func (x *Exchange) awaitWrite() {
 	select {
-	case err := <-x.wrote:
-		x.settle(err)
+	case err := <-x.writeErr:
+		x.recycle(err)
 	case <-time.After(writeGrace):
 		_ = x.conn.Close()
 	}
 }
 
-// settle keeps the connection, if the request was written.
+// recycle returns the connection to the pool if the request was written.
 //
-// An endpoint may answer before it has read the request. What it reads later on
-// this connection must be the rest of that request, so the connection is used
-// again only if all of it was written.
-func (x *Exchange) settle(err error) {
+// An endpoint may respond before it has read the request. What it reads later on
+// this connection must be the rest of that request, so the connection is reused
+// only if all of it was written.
+func (x *Exchange) recycle(err error) {
 	if err != nil {
 		_ = x.conn.Close()
 		return
 	}
 	_ = x.conn.SetDeadline(time.Time{})
-	x.conn.idle = keepAlive(x.Response.Header.Get("Keep-Alive"))
-	x.pool.keep(x.peer, x.conn, x.most)
+	x.conn.idleTimeout = keepAlive(x.Response.Header.Get("Keep-Alive"))
+	x.pool.put(x.peer, x.conn, x.maxIdleConns)
 }
 
 // Abort ends an exchange and closes its connection.
@@ -187,8 +187,9 @@
 	_ = x.conn.Close()
 }
 
-// keepAlive returns how long a connection may stay idle; it is given up some
-// time before the endpoint does, so that no request crosses the close.
+// keepAlive returns how long a connection may stay idle, given its Keep-Alive header.
+// That is less than the endpoint keeps it, so that no request is sent while the
+// endpoint closes it.
 func keepAlive(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -202,13 +203,13 @@
 	return defaultIdle
 }
 
-// IsCut reports whether an error says that the other side ended the connection
-// before an answer was complete.
-func IsCut(err error) bool {
+// IsClosedByPeer reports whether an error says that the peer closed or reset the
+// connection before a response was complete.
+func IsClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// IsTimeout reports whether an error is a read deadline's.
+// IsTimeout reports whether an error is a timeout, such as of a read deadline.
 func IsTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
--- a/internal/http1/exchange_test.go
+++ b/internal/http1/exchange_test.go
@@ -22,7 +22,7 @@
 
 const header = "Request-Id"
 
-// server accepts connections and plays a script on each; it counts them.
+// server runs a script on each connection that it accepts, and counts them.
 type server struct {
 	addr     netip.AddrPort
 	accepted atomic.Int64
@@ -49,8 +49,9 @@
 	return s
 }
 
-// each answers every request with what a function returns for its ID and number.
-func each(answer func(id string, n int) string) func(net.Conn, *bufio.Reader) {
+// each returns a script that responds to every request with what respond returns for
+// its ID and its number on the connection.
+func each(respond func(id string, n int) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, in *bufio.Reader) {
 		for n := 0; ; n++ {
 			r, err := http.ReadRequest(in)
@@ -60,7 +61,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			if _, err := io.WriteString(c, answer(r.Header.Get(header), n)); err != nil {
+			if _, err := io.WriteString(c, respond(r.Header.Get(header), n)); err != nil {
 				return
 			}
 		}
@@ -89,31 +90,31 @@
 	return string(body), nil
 }
 
-func TestConnections(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer func(id string, n int) string
-		idle   time.Duration
+		name    string
+		respond func(id string, n int) string
+		idle    time.Duration
 		// opened is how many connections three requests take.
 		opened int64
 	}{
-		{name: "are kept", answer: func(id string, _ int) string { return ok(id) }, idle: time.Minute, opened: 1},
-		{name: "are not used where none may be", answer: func(id string, _ int) string { return ok(id) }, opened: 3},
+		{name: "are reused", respond: func(id string, _ int) string { return ok(id) }, idle: time.Minute, opened: 1},
+		{name: "are not reused if no idle time is allowed", respond: func(id string, _ int) string { return ok(id) }, opened: 3},
 		{
-			name:   "are closed where the endpoint says so",
-			answer: func(id string, _ int) string { return strings.Replace(ok(id), "\r\n", "\r\nConnection: close\r\n", 1) },
-			idle:   time.Minute, opened: 3,
+			name:    "are closed if the endpoint says so",
+			respond: func(id string, _ int) string { return strings.Replace(ok(id), "\r\n", "\r\nConnection: close\r\n", 1) },
+			idle:    time.Minute, opened: 3,
 		},
 		{
-			// Guards against this failure: a caller gets bytes of another's answer.
-			name:   "with bytes that nobody asked for are closed",
-			answer: func(id string, _ int) string { return ok(id) + "more" },
-			idle:   time.Minute, opened: 3,
+			// Guards against a caller that gets bytes of another's response.
+			name:    "are closed if they have unexpected bytes",
+			respond: func(id string, _ int) string { return ok(id) + "more" },
+			idle:    time.Minute, opened: 3,
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, each(c.answer))
+			s := newServer(t, each(c.respond))
 			p := http1.NewPool(http1.PoolConfig{RequestID: header})
 			defer p.Close()
 			for _, id := range []string{"a", "b", "c"} {
@@ -126,9 +127,9 @@
 	}
 }
 
-// Guards against this failure: requests that must run once end with a reset just after an
-// endpoint has started again.
-func TestConnectionsToAnEarlierProcessAreNotUsed(t *testing.T) {
+// Guards against at-most-once requests that end with a reset just after an endpoint has
+// restarted, because they are sent on connections to its former process.
+func TestConnectionsToAnEarlierProcessAreNotReused(t *testing.T) {
 	s := newServer(t, each(func(id string, _ int) string { return ok(id) }))
 	p := http1.NewPool(http1.PoolConfig{RequestID: header})
 	defer p.Close()
@@ -143,8 +144,9 @@
 	require.EqualValues(t, 2, s.accepted.Load())
 }
 
-// Guards against this failure: a caller gets the answer to another request.
-func TestLateSecondAnswerIsPassedOver(t *testing.T) {
+// Guards against a caller that gets the response to another request, because the
+// endpoint has sent that response twice.
+func TestDuplicateResponseIsSkipped(t *testing.T) {
 	last := ""
 	s := newServer(t, each(func(id string, n int) string {
 		defer func() { last = id }()
@@ -183,7 +185,7 @@
 	}
 }
 
-// Guards against this failure: an endpoint works on for nobody.
+// Guards against an endpoint that keeps working although nobody awaits its response.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	gone := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -202,8 +204,9 @@
 	<-gone
 }
 
-// Guards against this failure: a request gets bytes of another's body.
-func TestConnectionOfAnEarlyAnswerIsNotUsedAgain(t *testing.T) {
+// Guards against a request that gets bytes of another's body, which the endpoint had
+// not read when it responded.
+func TestConnectionOfAnEarlyResponseIsNotReused(t *testing.T) {
 	s := newServer(t, func(c net.Conn, in *bufio.Reader) {
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -229,15 +232,15 @@
 	require.Equal(t, int64(2), s.accepted.Load())
 }
 
-// Guards against this failure: requests on connections that have rested for a while fail one
-// after another.
-func TestIdleConnectionsThatEndpointsForget(t *testing.T) {
-	const forget, rest = 40 * time.Millisecond, 100 * time.Millisecond
+// Guards against requests that fail one after another on idle connections, because the
+// endpoint has dropped these without notice.
+func TestIdleConnectionsDroppedByEndpoint(t *testing.T) {
+	const dropAfter, pause = 40 * time.Millisecond, 100 * time.Millisecond
 	s := newServer(t, func(c net.Conn, in *bufio.Reader) {
 		answered := time.Now().Add(time.Hour)
 		for {
 			r, err := http.ReadRequest(in)
-			if err != nil || time.Since(answered) > forget {
+			if err != nil || time.Since(answered) > dropAfter {
 				return
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -257,14 +260,15 @@
 			require.ErrorIs(t, err, http1.ErrBroken)
 			lost++
 		}
-		time.Sleep(rest)
+		time.Sleep(pause)
 	}
 	require.Equal(t, 1, lost)
 }
 
-// Guards against this failure: endpoints reset new connections.
+// Guards against endpoints that reset new connections, because idle ones exhaust the
+// endpoint's limit.
 func TestIdleConnectionsAreBounded(t *testing.T) {
-	const most, burst = 2, 6
+	const maxIdleConns, burst = 2, 6
 	arrived := make(chan struct{}, burst)
 	answer := make(chan struct{})
 	s := newServer(t, each(func(id string, _ int) string {
@@ -277,7 +281,7 @@
 	var group sync.WaitGroup
 	send := func(id string) {
 		req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{header: {id}}}
-		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, Idle: time.Minute, Keep: most})
+		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, Idle: time.Minute, Keep: maxIdleConns})
 		require.NoError(t, err)
 		_, err = io.ReadAll(x.Response.Body)
 		require.NoError(t, err)
@@ -295,5 +299,5 @@
 		}
 		group.Wait()
 	}
-	require.EqualValues(t, burst+burst-most, s.accepted.Load())
+	require.EqualValues(t, burst+burst-maxIdleConns, s.accepted.Load())
 }
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -15,10 +15,10 @@
 	"bulrushhinge.example/bulrushhinge/internal/http1"
 )
 
-// Whatever bytes an endpoint sends, an answer that is taken names its request,
-// or nothing on a new connection; and what follows on the same connection does
-// not become the next request's answer.
-func FuzzAnswers(f *testing.F) {
+// Whatever bytes an endpoint sends, an accepted response repeats its request's ID, or
+// has none on a new connection; and what follows on the same connection does not
+// become the next request's response.
+func FuzzResponses(f *testing.F) {
 	for _, text := range []string{
 		ok("q1"), ok("q2"), ok("q1") + ok("q2"), ok("q1") + ok("other"), ok("other") + ok("q1"),
 		"HTTP/1.1 100 Continue\r\n\r\n" + ok("q1"), "HTTP/1.1 200 OK\r\n\r\nno length", "garbage", "", "HTTP/1.1 200",
@@ -43,7 +43,7 @@
 					return
 				}
 				if tcp, ok := c.(*net.TCPConn); ok && len(text)%2 == 0 {
-					// Some endpoints end the connection, some wait for more.
+					// Some endpoints close the connection, some wait for more.
 					_ = tcp.CloseWrite()
 				}
 			}
@@ -55,7 +55,7 @@
 		x, err := p.Do(ctx, http1.Request{Addr: s.addr, ID: "q1", HTTP: get("q1"), Idle: time.Minute})
 		if err == nil {
 			id := x.Response.Header.Get(header)
-			require.True(t, id == "q1" || (id == "" && x.Fresh), id)
+			require.True(t, id == "q1" || (id == "" && x.NewConn), id)
 			if _, err := io.Copy(io.Discard, x.Response.Body); err == nil {
 				x.Finish()
 			}
--- a/internal/http1/listener.go
+++ b/internal/http1/listener.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// HeadTimeout is how long a caller may take for a request's head before a
-	// configuration says so: the longest that servers commonly allow.
-	HeadTimeout = 10 * time.Second
-	// IdleTimeout is the same for a connection without a request.
-	IdleTimeout = time.Minute
+	// DefaultHeaderTimeout is how long a caller may take for a request's header if
+	// the configuration does not say: the longest that servers commonly allow.
+	DefaultHeaderTimeout = 10 * time.Second
+	// DefaultIdleTimeout is the same for a connection without a request.
+	DefaultIdleTimeout = time.Minute
 )
 
-// lateHead answers a caller whose request's head did not come in time. Nothing
-// of the request was read as one, so it has not run.
-const lateHead = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+// timeoutResponse is sent to a caller whose request's header was not complete in
+// time. The request was never parsed, so it has not run.
+const timeoutResponse = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // Phases of a caller's connection, in their order.
 const (
 	// idle lasts until a request's first byte.
 	idle phase = iota
-	// heading lasts until the request's head is complete.
-	heading
-	// active lasts until the request is answered.
+	// readingHeader lasts until the request's header is complete.
+	readingHeader
+	// active lasts until the response is complete.
 	active
 )
 
 type (
 	phase int
 
-	// Limits bound how long callers may take; with 0 the package's own hold.
+	// Limits bound how long callers may take; 0 means the package's default.
 	Limits struct {
 		Head time.Duration
 		Idle time.Duration
 	}
 
 	// Listener accepts callers' connections and bounds how long they may take
-	// for a request's head and stay idle. The bounds may change at any time and
-	// hold from a connection's next phase on; those of an http.Server are read
+	// for a request's header and stay idle. The limits may change at any time and
+	// apply from a connection's next phase on; an http.Server reads its own only
 	// once.
 	Listener struct {
 		net.Listener
@@ -59,13 +59,13 @@
 		limits func() Limits
 		mu     sync.Mutex
 		phase  phase
-		// begun says that a part of a head has come.
-		begun bool
+		// headerBegun says that part of a header has been received.
+		headerBegun bool
 	}
 )
 
-// NewListener returns a listener with bounds; the server that it is for needs
-// its ConnState as well.
+// NewListener returns a listener with limits; its ConnState must be set as that of
+// the http.Server that uses it.
 func NewListener(l net.Listener, limits func() Limits) *Listener {
 	return &Listener{Listener: l, limits: limits}
 }
@@ -81,12 +81,12 @@
 		return nil, fmt.Errorf("http1: accept: %T is not TCP", c)
 	}
 	conn := &callerConn{TCPConn: tcp, limits: l.limits}
-	// A caller may connect before it has something to ask.
+	// A caller may connect before it has a request.
 	conn.enter(idle)
 	return conn, nil
 }
 
-// ConnState tells a connection what its server does with it.
+// ConnState updates a connection's phase by its state in the server.
 func (*Listener) ConnState(c net.Conn, s http.ConnState) {
 	conn, ok := c.(*callerConn)
 	if !ok {
@@ -101,24 +101,24 @@
 	}
 }
 
-// Read reads, and notices where a request begins or its head is late.
+// Read reads, and detects that a request begins or that its header is late.
 //
-// Callers may send a head byte by byte, or never to its end, and hold a
-// descriptor each. Past the bound the caller is told, and the connection ends.
+// Callers may send a header byte by byte, or never complete it, and hold a file
+// descriptor each. After the limit the caller gets a 408 and the connection ends.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
-		c.began()
+		c.received()
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.late() {
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.headerLate() {
 		// The connection ends, whether the caller reads this or not.
-		_, _ = io.WriteString(c.TCPConn, lateHead)
+		_, _ = io.WriteString(c.TCPConn, timeoutResponse)
 	}
 	return n, err
 }
 
-// SetReadDeadline sets the deadline that the server wants, for the request that
-// is active.
+// SetReadDeadline sets the server's read deadline if a request is active, and is
+// ignored otherwise.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,42 +133,42 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phase = p
-	c.begun = false
+	c.headerBegun = false
 	var until time.Time
 	switch p {
-	case heading:
-		until = time.Now().Add(orElse(c.limits().Head, HeadTimeout))
+	case readingHeader:
+		until = time.Now().Add(orDefault(c.limits().Head, DefaultHeaderTimeout))
 	case idle:
-		until = time.Now().Add(orElse(c.limits().Idle, IdleTimeout))
+		until = time.Now().Add(orDefault(c.limits().Idle, DefaultIdleTimeout))
 	case active:
 	}
 	// A connection that is closed already needs no deadline.
 	_ = c.TCPConn.SetReadDeadline(until)
 }
 
-// began notes that bytes have come; on an idle connection they begin a head.
-func (c *callerConn) began() {
+// received handles the arrival of bytes; on an idle connection they begin a header.
+func (c *callerConn) received() {
 	c.mu.Lock()
 	starts := c.phase == idle
 	c.mu.Unlock()
 	if starts {
-		c.enter(heading)
+		c.enter(readingHeader)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = c.begun || c.phase == heading
+	c.headerBegun = c.headerBegun || c.phase == readingHeader
 }
 
-// late reports, once, whether a head has begun and not ended.
-func (c *callerConn) late() bool {
+// headerLate reports, once, whether a header has begun and is not complete.
+func (c *callerConn) headerLate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	late := c.phase == heading && c.begun
-	c.begun = false
+	late := c.phase == readingHeader && c.headerBegun
+	c.headerBegun = false
 	return late
 }
 
-func orElse(d, other time.Duration) time.Duration {
+func orDefault(d, other time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
--- a/internal/http1/listener_test.go
+++ b/internal/http1/listener_test.go
@@ -15,16 +15,16 @@
 	"bulrushhinge.example/bulrushhinge/internal/http1"
 )
 
-// callers is a server whose limits a test sets.
-type callers struct {
+// limitedServer is a server whose limits a test sets.
+type limitedServer struct {
 	addr   string
 	limits atomic.Pointer[http1.Limits]
 }
 
-func newCallers(t *testing.T, limits http1.Limits) *callers {
+func newLimitedServer(t *testing.T, limits http1.Limits) *limitedServer {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &callers{addr: l.Addr().String()}
+	s := &limitedServer{addr: l.Addr().String()}
 	s.limits.Store(&limits)
 	bounded := http1.NewListener(l, func() http1.Limits { return *s.limits.Load() })
 	server := &http.Server{
@@ -39,33 +39,34 @@
 	return s
 }
 
-// ended returns what the server sends until it ends a connection.
-func ended(c net.Conn) string {
+// readAll returns what the server sends until it closes a connection.
+func readAll(c net.Conn) string {
 	data, _ := io.ReadAll(c)
 	return string(data)
 }
 
-// Guards against this failure: descriptors run out while few requests are in progress.
+// Guards against running out of file descriptors while few requests are in progress,
+// because slow callers hold one each.
 func TestSlowCallers(t *testing.T) {
 	short := http1.Limits{Head: 60 * time.Millisecond, Idle: 60 * time.Millisecond}
 	cases := []struct {
 		name string
-		// sent is what the caller sends before it falls silent.
+		// sent is all that the caller sends.
 		sent   string
 		answer string
 	}{
-		{name: "that send nothing are closed"},
-		{name: "that send half a head are told so", sent: "POST / HTTP/1.1\r\nHost: h\r\n", answer: "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		{name: "that send nothing are disconnected"},
+		{name: "that send part of a header get a 408", sent: "POST / HTTP/1.1\r\nHost: h\r\n", answer: "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newCallers(t, short)
+			s := newLimitedServer(t, short)
 			conn, err := net.Dial("tcp4", s.addr)
 			require.NoError(t, err)
 			defer func() { _ = conn.Close() }()
 			_, err = io.WriteString(conn, c.sent)
 			require.NoError(t, err)
-			require.Equal(t, c.answer, ended(conn))
+			require.Equal(t, c.answer, readAll(conn))
 		})
 	}
 }
@@ -74,7 +75,7 @@
 // afterwards the connection is closed when it has been idle for long enough, by
 // the limit in force when the request ended.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
-	s := newCallers(t, http1.Limits{Head: 200 * time.Millisecond, Idle: time.Hour})
+	s := newLimitedServer(t, http1.Limits{Head: 200 * time.Millisecond, Idle: time.Hour})
 	conn, err := net.Dial("tcp4", s.addr)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// defaultIdle is how long a connection is kept where the endpoint does not
+	// defaultIdle is how long an idle connection is kept if the endpoint does not
 	// say: a little under the five seconds that many servers keep one.
 	defaultIdle = 4 * time.Second
-	// MaxIdle bounds what an endpoint says.
+	// MaxIdle bounds how long an idle connection is kept if the endpoint does say.
 	MaxIdle = 30 * time.Second
-	// maxKept is how many idle connections are kept to one endpoint where the
-	// request does not say.
-	maxKept = 16
-	// restShare is the part of a rest that was too long for which connections
-	// may rest afterwards, and restMemory how long that holds: as long as an
-	// endpoint's own word does. A break after less than leastRest is put down
-	// to other causes.
-	restShare  = 0.5
-	leastRest  = 50 * time.Millisecond
-	restMemory = MaxIdle
+	// defaultMaxIdleConns is how many idle connections are kept to one endpoint if
+	// the request does not say.
+	defaultMaxIdleConns = 16
+	// After a reused connection has broken, connections may be idle for no more
+	// than idleLimitShare of its idle time. That holds for idleLimitTTL, which is as
+	// long as an endpoint's own limit may be. A break after less than minIdleLimit
+	// is attributed to other causes.
+	idleLimitShare = 0.5
+	minIdleLimit   = 50 * time.Millisecond
+	idleLimitTTL   = MaxIdle
 	// pruneInterval is how often old idle connections are closed.
 	pruneInterval = 2 * time.Second
 )
 
 type (
-	// PoolConfig is the settings of a Pool.
+	// PoolConfig holds the settings of a Pool.
 	PoolConfig struct {
-		// RequestID is the header by which an answer names its request.
+		// RequestID is the header in which a response repeats its request's ID.
 		RequestID string
 		// Opened is called for each new connection; it may be nil.
 		Opened func()
 	}
 
-	// Pool keeps connections to endpoints.
+	// Pool keeps idle connections to endpoints.
 	Pool struct {
-		config PoolConfig
-		mu     sync.Mutex
-		kept   map[peer][]*conn
-		// rest is how long connections may rest, until the time given.
-		rest      time.Duration
-		restUntil time.Time
-		cancel    context.CancelFunc
-		running   sync.WaitGroup
+		config    PoolConfig
+		mu        sync.Mutex
+		idleConns map[peer][]*conn
+		// idleLimit is how long connections may be idle, until idleLimitUntil.
+		idleLimit      time.Duration
+		idleLimitUntil time.Time
+		cancel         context.CancelFunc
+		running        sync.WaitGroup
 	}
 
 	// peer is one process at an address.
 	//
-	// A process that starts again, or another one, may be at an address to which
+	// A restarted process, or another one, may use an address to which idle
 	// connections are kept. What is sent on one of those is lost.
 	peer struct {
 		addr    netip.AddrPort
@@ -63,7 +63,7 @@
 // NewPool returns a pool without connections.
 func NewPool(c PoolConfig) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Pool{config: c, kept: map[peer][]*conn{}, cancel: cancel}
+	p := &Pool{config: c, idleConns: map[peer][]*conn{}, cancel: cancel}
 	p.running.Go(func() { periodic.Run(ctx, pruneInterval, p.prune) })
 	return p
 }
@@ -74,30 +74,30 @@
 	p.running.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.kept {
+	for to, list := range p.idleConns {
 		closeAll(list)
-		delete(p.kept, to)
+		delete(p.idleConns, to)
 	}
 }
 
-// take returns the connection that was used last, if it has been idle for less
-// than a time, or nil.
+// take returns the most recently used connection if it has been idle for less than
+// the given time, otherwise nil.
 func (p *Pool) take(from peer, idle time.Duration) *conn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Before(p.restUntil) {
-		idle = min(idle, p.rest)
+	if now.Before(p.idleLimitUntil) {
+		idle = min(idle, p.idleLimit)
 	}
-	list := p.kept[from]
+	list := p.idleConns[from]
 	for len(list) > 0 {
 		c := list[len(list)-1]
-		c.rested = now.Sub(c.since)
-		if c.rested >= idle {
+		c.idleFor = now.Sub(c.lastUsed)
+		if c.idleFor >= idle {
 			return nil
 		}
 		list = list[:len(list)-1]
-		p.kept[from] = list
+		p.idleConns[from] = list
 		if c.usable(now) {
 			return c
 		}
@@ -106,23 +106,23 @@
 	return nil
 }
 
-// forgotten learns from a kept connection that broke before any answer.
+// lowerIdleLimit reacts to a reused connection that broke before any response.
 //
-// Endpoints may forget idle connections sooner than they say, and without notice;
-// whatever is sent next is reset, and a request that must run once is lost. After
-// the first loss connections rest for less.
-func (p *Pool) forgotten(rested time.Duration) {
-	if rested < leastRest {
+// Endpoints may drop idle connections sooner than they say, and without notice;
+// whatever is sent next is reset, and an at-most-once request is lost. After the
+// first loss, connections may be idle for less time.
+func (p *Pool) lowerIdleLimit(idleFor time.Duration) {
+	if idleFor < minIdleLimit {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	limit := max(time.Duration(restShare*float64(rested)), leastRest)
-	if now.Before(p.restUntil) {
-		limit = min(limit, p.rest)
+	limit := max(time.Duration(idleLimitShare*float64(idleFor)), minIdleLimit)
+	if now.Before(p.idleLimitUntil) {
+		limit = min(limit, p.idleLimit)
 	}
-	p.rest, p.restUntil = limit, now.Add(restMemory)
+	p.idleLimit, p.idleLimitUntil = limit, now.Add(idleLimitTTL)
 }
 
 func (p *Pool) open(ctx context.Context, addr netip.AddrPort) (*conn, error) {
@@ -132,41 +132,41 @@
 	return dial(ctx, addr)
 }
 
-// keep takes a connection back after a clean exchange, if fewer than a number
-// are kept.
-func (p *Pool) keep(to peer, c *conn, most int) {
-	c.since = time.Now()
+// put returns a connection to the pool after a complete exchange, if fewer than
+// maxConns are idle.
+func (p *Pool) put(to peer, c *conn, maxConns int) {
+	c.lastUsed = time.Now()
 	c.used = true
-	if !c.quiet() {
+	if !c.clean() {
 		_ = c.Close()
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.kept[to]) >= most {
+	if len(p.idleConns[to]) >= maxConns {
 		_ = c.Close()
 		return
 	}
-	p.kept[to] = append(p.kept[to], c)
+	p.idleConns[to] = append(p.idleConns[to], c)
 }
 
 func (p *Pool) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.kept {
-		var rest []*conn
+	for to, list := range p.idleConns {
+		var usable []*conn
 		for _, c := range list {
 			if c.usable(now) {
-				rest = append(rest, c)
+				usable = append(usable, c)
 				continue
 			}
 			_ = c.Close()
 		}
-		if len(rest) == 0 {
-			delete(p.kept, to)
+		if len(usable) == 0 {
+			delete(p.idleConns, to)
 			continue
 		}
-		p.kept[to] = rest
+		p.idleConns[to] = usable
 	}
 }
 
--- a/internal/http1/retry_test.go
+++ b/internal/http1/retry_test.go
@@ -15,7 +15,7 @@
 	// Output: 250ms
 }
 
-// Guards against a time that is read from what names none.
+// Guards against a time that is parsed from a value other than a number of seconds.
 func TestRetryAfter(t *testing.T) {
 	cases := map[string]time.Duration{
 		"3": 3 * time.Second, " 0.25 ": 250 * time.Millisecond, ".5": 500 * time.Millisecond,
