--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -43,7 +43,7 @@
 			c.queue().Began(c.admissionRequest(), a.latency)
 			c.handler.config.Balancer.Read(time.Now(), a.choice, a.latency)
 		}
-		if ev.Numbered && ev.ID <= c.progress.lastEvent && c.progress.events > 0 {
+		if ev.HasID && ev.ID <= c.progress.lastEvent && c.progress.events > 0 {
 			continue
 		}
 		if err := c.writeEvent(x.Response, ev); err != nil {
@@ -60,7 +60,7 @@
 
 // checkOrder returns an error if an event is missing before this one.
 func (c *call) checkOrder(ev sse.Event) error {
-	if ev.Numbered && c.progress.lastEvent > 0 && ev.ID > c.progress.lastEvent+1 {
+	if ev.HasID && c.progress.lastEvent > 0 && ev.ID > c.progress.lastEvent+1 {
 		return errMissingEvent
 	}
 	return nil
@@ -77,7 +77,7 @@
 	if _, err := c.out.Write(ev.Raw); err != nil {
 		return err
 	}
-	if ev.Numbered {
+	if ev.HasID {
 		c.progress.lastEvent = ev.ID
 	}
 	c.progress.events++
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -1,4 +1,4 @@
-// Package sse reads streams of events (text/event-stream) event by event.
+// Package sse reads server-sent events (text/event-stream) one by one.
 package sse
 
 import (
@@ -10,60 +10,60 @@
 	"strconv"
 )
 
-// MaxEvent bounds one event.
-const MaxEvent = 256 << 10
+// MaxEventSize is the largest size of an event, in bytes.
+const MaxEventSize = 256 << 10
 
 var (
-	// ErrTorn is returned where a stream ended within an event.
-	ErrTorn = errors.New("sse: stream ended within an event")
-	// ErrLarge is returned for an event over MaxEvent.
-	ErrLarge = errors.New("sse: event too large")
+	// ErrTruncated is returned if a stream ended within an event.
+	ErrTruncated = errors.New("sse: stream ended within an event")
+	// ErrTooLarge is returned for an event larger than MaxEventSize.
+	ErrTooLarge = errors.New("sse: event too large")
 )
 
 type (
-	// Event is one event as it was sent, its blank line included.
+	// Event is one event. Raw is the event as it was sent, with its blank line.
 	Event struct {
 		Raw []byte
-		// ID is the event's ID, if Numbered says that it has one.
-		ID       uint64
-		Numbered bool
+		// ID is the event's ID if HasID is true; an ID that is no number is ignored.
+		ID    uint64
+		HasID bool
 	}
 
-	// Reader reads events.
+	// Reader reads events from a stream.
 	Reader struct{ from *bufio.Reader }
 )
 
 // NewReader returns a Reader of a stream.
 func NewReader(r io.Reader) *Reader { return &Reader{from: bufio.NewReader(r)} }
 
-// Next returns the next event, and io.EOF at the end between two events. Its
-// other errors are those of the stream below, ErrTorn and ErrLarge.
+// Next returns the next event, or io.EOF if the stream ended after a complete event.
+// Its other errors are ErrTruncated, ErrTooLarge and those of the underlying reader.
 func (r *Reader) Next() (Event, error) {
 	var ev Event
 	start := 0
 	for {
 		line, err := r.from.ReadSlice('\n')
-		if errors.Is(err, bufio.ErrBufferFull) && len(ev.Raw)+len(line) < MaxEvent {
+		if errors.Is(err, bufio.ErrBufferFull) && len(ev.Raw)+len(line) < MaxEventSize {
 			ev.Raw = append(ev.Raw, line...)
 			continue
 		}
 		if err != nil {
-			return Event{}, torn(err, len(ev.Raw)+len(line))
+			return Event{}, readError(err, len(ev.Raw)+len(line))
 		}
 		ev.Raw = append(ev.Raw, line...)
-		if len(ev.Raw) > MaxEvent {
-			return Event{}, ErrLarge
+		if len(ev.Raw) > MaxEventSize {
+			return Event{}, ErrTooLarge
 		}
 		text := bytes.TrimRight(ev.Raw[start:], "\r\n")
 		if len(text) == 0 {
 			return ev, nil
 		}
-		ev.field(text)
+		ev.parseField(text)
 		start = len(ev.Raw)
 	}
 }
 
-func (e *Event) field(line []byte) {
+func (e *Event) parseField(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
@@ -72,15 +72,15 @@
 	if err != nil {
 		return
 	}
-	e.ID, e.Numbered = id, true
+	e.ID, e.HasID = id, true
 }
 
-func torn(err error, read int) error {
+func readError(err error, read int) error {
 	if errors.Is(err, io.EOF) && read > 0 {
-		return ErrTorn
+		return ErrTruncated
 	}
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return ErrLarge
+		return ErrTooLarge
 	}
 	if errors.Is(err, io.EOF) {
 		return io.EOF
--- a/internal/sse/reader_test.go
+++ b/internal/sse/reader_test.go
@@ -27,7 +27,7 @@
 	// 2 "id: 2\ndata: b\n\n"
 }
 
-func TestStreams(t *testing.T) {
+func TestReader(t *testing.T) {
 	long := "id: 7\ndata: " + strings.Repeat("x", 10_000) + "\n\n"
 	cases := []struct {
 		name string
@@ -38,9 +38,9 @@
 		{name: "empty", err: io.EOF},
 		{name: "carriage returns", text: "id: 1\r\ndata: a\r\n\r\n", ids: []uint64{1}, err: io.EOF},
 		{name: "an event longer than the buffer", text: long, ids: []uint64{7}, err: io.EOF},
-		{name: "ends within a line", text: "id: 1\n\nid: 2", ids: []uint64{1}, err: sse.ErrTorn},
-		{name: "ends before its blank line", text: "id: 1\n\nid: 2\n", ids: []uint64{1}, err: sse.ErrTorn},
-		{name: "too large", text: "data: " + strings.Repeat("x", sse.MaxEvent+1) + "\n\n", err: sse.ErrLarge},
+		{name: "ends within a line", text: "id: 1\n\nid: 2", ids: []uint64{1}, err: sse.ErrTruncated},
+		{name: "ends before its blank line", text: "id: 1\n\nid: 2\n", ids: []uint64{1}, err: sse.ErrTruncated},
+		{name: "too large", text: "data: " + strings.Repeat("x", sse.MaxEventSize+1) + "\n\n", err: sse.ErrTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			var ids []uint64
 			ev, err := r.Next()
 			for ; err == nil; ev, err = r.Next() {
-				require.True(t, ev.Numbered)
+				require.True(t, ev.HasID)
 				ids = append(ids, ev.ID)
 			}
 			require.ErrorIs(t, err, c.err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Whatever the bytes, the events are a prefix of them, and nothing panics.
+// Whatever the bytes, the events read are a prefix of them, and nothing panics.
 func FuzzReader(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\n\n\r\n:x\nid:\n")
