--- a/internal/kernel/damper.go
+++ b/internal/kernel/damper.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// freeFlaps is the number of flaps without a quiet period: an ordinary
-	// restart, and one more.
-	freeFlaps  = 1
-	quietFirst = 2 * time.Second
-	quietLast  = time.Minute
-	// flapMemory is the time after which a flap counts half.
-	flapMemory = time.Minute
+	// freeFlaps is the number of flaps that start no hold-down, so that an
+	// ordinary restart is not penalized.
+	freeFlaps   = 1
+	minHoldDown = 2 * time.Second
+	maxHoldDown = time.Minute
+	// flapHalfLife is the half-life of a flap's weight.
+	flapHalfLife = time.Minute
 )
 
-// Damper holds back an instance that comes and goes. The zero value has seen no
-// flap.
+// Damper damps the flapping of an instance. The zero value has recorded no flap.
 //
-// An instance that answers and falls silent by turns would get work, lose it and
-// move its neighbours' homes at each turn. Each further flap therefore doubles
-// the quiet period before the instance is trusted again.
+// An instance that alternates between responsive and unresponsive would get work,
+// lose it and change the owners of its neighbours' endpoints each time. Each
+// further flap therefore doubles the hold-down before it is trusted again.
 type Damper struct {
-	score float64
-	last  time.Time
-	until time.Time
+	penalty  float64
+	lastFlap time.Time
+	until    time.Time
 }
 
-// Flap notes that the instance came back, and starts a quiet period.
+// Flap records that the instance came back, and starts a hold-down unless the
+// flap is free.
 func (d *Damper) Flap(now time.Time) {
-	if !d.last.IsZero() {
-		d.score *= math.Exp2(-now.Sub(d.last).Seconds() / flapMemory.Seconds())
+	if !d.lastFlap.IsZero() {
+		d.penalty *= math.Exp2(-now.Sub(d.lastFlap).Seconds() / flapHalfLife.Seconds())
 	}
-	d.score++
-	d.last = now
-	over := math.Round(d.score) - freeFlaps
-	if over < 1 {
+	d.penalty++
+	d.lastFlap = now
+	excess := math.Round(d.penalty) - freeFlaps
+	if excess < 1 {
 		return
 	}
-	quiet := quietFirst.Seconds() * math.Exp2(over-1)
-	quiet = min(quiet, quietLast.Seconds())
-	d.until = now.Add(time.Duration(quiet * float64(time.Second)))
+	holdDown := minHoldDown.Seconds() * math.Exp2(excess-1)
+	holdDown = min(holdDown, maxHoldDown.Seconds())
+	d.until = now.Add(time.Duration(holdDown * float64(time.Second)))
 }
 
-// Quiet reports whether the instance is not to be trusted yet.
+// Quiet reports whether the instance is in a hold-down.
 func (d *Damper) Quiet(now time.Time) bool { return now.Before(d.until) }
--- a/internal/kernel/digest.go
+++ b/internal/kernel/digest.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// nearPart is the change of a number, as a part of it, that is not worth a
-	// message; nearFloor is the change that never is.
-	nearPart  = 0.05
-	nearFloor = 2
-	// nearDemand is the change of a demand that is not worth a message.
-	nearDemand = 0.25
-	// maxDemands bounds the accounts of a digest; the heaviest stay.
+	// relTolerance is the relative and absTolerance the absolute change of a
+	// number that does not justify a message; the larger of the two applies.
+	relTolerance = 0.05
+	absTolerance = 2
+	// demandTolerance is the relative change of a demand that does not justify a
+	// message.
+	demandTolerance = 0.25
+	// maxDemands is the most accounts in a digest; the heaviest are kept.
 	maxDemands = 12
 )
 
@@ -23,19 +24,20 @@
 	Digest struct {
 		// Scope is the name of the cell or region.
 		Scope string
-		// Origin is the incarnation of the node that made the digest, and
-		// Serial numbers that node's digests.
+		// Origin is the incarnation of the node that created the digest, and
+		// Serial is the digest's sequence number at that node.
 		Origin uint64
 		Serial uint64
-		// ListVersion is the newest version of the instance list known there.
+		// ListVersion is the newest version of the instance list known in the
+		// scope.
 		ListVersion uint64
 		// Sums holds the load of each service.
 		Sums []Sum
 		// Absent holds the listed instances that are not live.
 		Absent []Absence
-		// Extra holds the live nodes that the list does not name yet.
+		// Extra holds the live nodes that are not listed yet.
 		Extra []Intro
-		// Demands is what the heavy accounts ask for.
+		// Demands holds the demand of the heavy accounts.
 		Demands []Demand
 	}
 
@@ -53,7 +55,7 @@
 	}
 )
 
-// Merge adds another scope's digest.
+// Merge adds the digest of another scope to d.
 func (d *Digest) Merge(o Digest) {
 	d.ListVersion = max(d.ListVersion, o.ListVersion)
 	for _, s := range o.Sums {
@@ -64,26 +66,28 @@
 	d.Demands = MergeDemands(d.Demands, o.Demands)
 }
 
-// Near reports whether a digest says about the same as another.
+// Near reports whether two digests differ only by changes that do not justify a
+// message.
 func (d *Digest) Near(o *Digest) bool {
 	if !d.SameNodes(o) || len(d.Sums) != len(o.Sums) || len(d.Demands) != len(o.Demands) {
 		return false
 	}
 	for i, s := range d.Sums {
 		t := o.Sums[i]
-		if s.Service != t.Service || s.Live != t.Live || !nearLoad(s.Load, t.Load) {
+		if s.Service != t.Service || s.Live != t.Live || !approxEqualLoad(s.Load, t.Load) {
 			return false
 		}
 	}
 	for i, a := range d.Demands {
-		if a.Account != o.Demands[i].Account || math.Abs(a.Rate-o.Demands[i].Rate) > nearDemand*a.Rate {
+		if a.Account != o.Demands[i].Account || math.Abs(a.Rate-o.Demands[i].Rate) > demandTolerance*a.Rate {
 			return false
 		}
 	}
 	return true
 }
 
-// SameNodes reports whether two digests tell the same of instances.
+// SameNodes reports whether two digests have the same list version and the same
+// absent and extra instances.
 func (d *Digest) SameNodes(o *Digest) bool {
 	sameNode := func(a, b Intro) bool { return a.Instance == b.Instance }
 	return d.ListVersion == o.ListVersion && slices.Equal(d.Absent, o.Absent) &&
@@ -101,8 +105,8 @@
 	d.Sums = append(d.Sums, s)
 }
 
-// MergeDemands adds two lists of demands, account by account. The result is
-// sorted by account.
+// MergeDemands sums two lists of demands by account. It returns the heaviest
+// accounts, at most maxDemands, sorted by account.
 func MergeDemands(a, b []Demand) []Demand {
 	merged := slices.Concat(a, b)
 	slices.SortFunc(merged, func(a, b Demand) int { return cmp.Compare(a.Account, b.Account) })
@@ -127,10 +131,10 @@
 	return list
 }
 
-func nearLoad(a, b Load) bool {
-	return near(float64(a.Requests), float64(b.Requests)) && near(float64(a.Tokens), float64(b.Tokens))
+func approxEqualLoad(a, b Load) bool {
+	return approxEqual(float64(a.Requests), float64(b.Requests)) && approxEqual(float64(a.Tokens), float64(b.Tokens))
 }
 
-func near(a, b float64) bool {
-	return math.Abs(a-b) <= max(nearFloor, nearPart*max(a, b))
+func approxEqual(a, b float64) bool {
+	return math.Abs(a-b) <= max(absTolerance, relTolerance*max(a, b))
 }
--- a/internal/kernel/event.go
+++ b/internal/kernel/event.go
@@ -8,35 +8,36 @@
 )
 
 type (
-	// Tick is the passing of time.
+	// Tick is the periodic timer event.
 	Tick struct{}
 
-	// Instances is a reading of the platform's instance list, which lags.
+	// Instances is the platform's instance list as last read. It lags behind the
+	// state of the fleet.
 	Instances struct {
 		Version uint64
 		List    []Instance
 	}
 
-	// Accepted is a whole, verified configuration that operators accepted.
+	// Accepted is a complete, verified configuration that operators accepted.
 	Accepted struct {
 		Manifest *manifest.Manifest
 	}
 
-	// Listed is the instance list in force: the newest version that the platform
-	// or a peer told. It is raised by the kernel itself.
+	// Listed is the instance list in force: the newest version received from the
+	// platform or a peer. It is raised by the kernel itself.
 	Listed struct {
 		Version uint64
 		List    []Instance
 	}
 
-	// Marked is a leave mark that the node learned or found out. It is raised
+	// Marked is a leave notice that the node received or created. It is raised
 	// by the kernel itself.
 	Marked struct {
 		Mark Mark
 	}
 
-	// Digested is a digest that is newer than those before. It is raised by the
-	// kernel itself.
+	// Digested is a received digest that is newer than the one stored for its
+	// scope. It is raised by the kernel itself.
 	Digested struct {
 		Digest Digest
 	}
@@ -45,76 +46,76 @@
 	// by the kernel itself.
 	Urgent struct{}
 
-	// Woken is raised when the process was paused for Gap.
+	// Woken is raised when the process resumes after a pause of Gap.
 	Woken struct {
 		Gap time.Duration
 	}
 
-	// Reread asks for a new reading of what the platform publishes.
+	// Reread asks for the platform's published state to be read again.
 	Reread struct{}
 
-	// ConfigFailed is an accepted revision that a peer told of but did not
-	// deliver.
+	// ConfigFailed reports that fetching an accepted revision from a peer that
+	// advertised it failed.
 	ConfigFailed struct {
 		Node string
 	}
 
-	// BeatReceived is a heartbeat from a peer, as a call or as the answer to
-	// one.
+	// BeatReceived is a heartbeat from a peer, as a call or as the reply to one.
 	BeatReceived struct {
 		Beat *Beat
 	}
 
-	// BeatFailed is a heartbeat that a peer did not answer.
+	// BeatFailed reports that a peer did not reply to a heartbeat.
 	BeatFailed struct {
 		Node string
 	}
 
-	// LoadReported is an endpoint's own report of its load, which lags.
+	// LoadReported is an endpoint's own report of its load. It lags behind the
+	// load.
 	LoadReported struct {
 		Endpoint string
 		Load     Load
 		Models   []string
 		Leaving  bool
-		// Incarnation changes when the endpoint restarts; 0 where it does not
-		// say.
+		// Incarnation changes when the endpoint restarts; 0 if it reports none.
 		Incarnation uint64
-		// Adapters and Role are what the endpoint was last ordered to.
+		// Adapters and Role are those of the last order to the endpoint.
 		Adapters []string
 		Role     string
 		// Fence is the highest fencing number the endpoint has accepted.
 		Fence uint64
 	}
 
-	// EndpointSpoke is an endpoint's own word on whether it leaves, which it gave to
-	// this node in an answer.
+	// EndpointSpoke is an endpoint's notice, sent to this node in a response, of
+	// whether it is leaving.
 	EndpointSpoke struct {
 		Endpoint string
 		Leaving  bool
-		// Incarnation is that of the endpoint's start which says so; 0 where it does
-		// not say.
+		// Incarnation is that of the endpoint that sent the notice; 0 if it
+		// reports none.
 		Incarnation uint64
 	}
 
-	// EndpointRests is an endpoint's wish to get no requests from this node until a
-	// time.
+	// EndpointRests is an endpoint's request for backoff: this node sends it no
+	// requests before Until.
 	EndpointRests struct {
 		Endpoint string
 		Until    time.Time
 	}
 
-	// EndpointFailed is an attempt or a load request that an endpoint did not
-	// answer.
+	// EndpointFailed reports that an endpoint did not answer an attempt or a load
+	// request.
 	EndpointFailed struct {
 		Endpoint string
 	}
 
-	// Order asks for an order to an endpoint. Its outcome is an OrderEnded.
+	// Order asks for an order to be sent to an endpoint. OrderEnded reports the
+	// outcome.
 	Order struct {
 		Endpoint string
 		Addr     netip.AddrPort
-		// Fence is the fencing number; an endpoint that checks refuses one that
-		// is not above those it has accepted.
+		// Fence is the fencing number. An endpoint that checks it refuses a
+		// number that is not above all that it has accepted.
 		Fence    uint64
 		Revision uint64
 		Models   []string
@@ -125,10 +126,10 @@
 	// OrderEnded is the outcome of an Order.
 	OrderEnded struct {
 		Endpoint string
-		// Accepted is unset where the endpoint refused or did not answer.
+		// Accepted is unset if the endpoint refused or did not answer.
 		Accepted bool
-		// Fence is the highest number that the endpoint has accepted; 0 where
-		// it did not say.
+		// Fence is the highest fencing number that the endpoint has accepted; 0
+		// if it reported none.
 		Fence uint64
 	}
 
@@ -147,63 +148,63 @@
 		Revision uint64
 	}
 
-	// Beat is what a node tells a peer in one heartbeat.
+	// Beat is the content of one heartbeat to a peer.
 	Beat struct {
 		Node        string
 		Incarnation uint64
 		Serial      uint64
 		Leaving     bool
-		// Listless is set until the sender has an instance list: it can take no
-		// endpoint into its care yet.
+		// Listless is set until the sender has an instance list. Until then it
+		// cannot own endpoints.
 		Listless bool
-		// Active is the callers' requests in progress at the sender.
+		// Active is the number of callers' requests in progress at the sender.
 		Active int
 		// Revision is the accepted revision in force at the sender.
 		Revision uint64
-		// Print is the fingerprint of its manifest; 0 where there is none.
+		// Print is the fingerprint of its manifest; 0 if it has none.
 		Print uint64
-		// Loads is the load of the endpoints whose home the sender is.
+		// Loads is the load of the endpoints that the sender owns.
 		Loads []EndpointLoad
-		// Marks are the leave marks that the receiver may not know.
+		// Marks are the leave notices that the receiver may not know.
 		Marks []Mark
 		// Intro describes the sender to a receiver that may not know it.
 		Intro *Intro
-		// ListVersion is the version of the instance list that the sender has
-		// applied or heard of.
+		// ListVersion is the newest version of the instance list that the sender
+		// has applied or that peers reported to it.
 		ListVersion uint64
-		// News is the newest change of the instance list.
+		// News is the newest delta of the instance list.
 		News *News
 		// Digests are summaries of cells and regions.
 		Digests []Digest
-		// Demands are the sender's heavy accounts.
+		// Demands is the demand of the sender's heavy accounts.
 		Demands []Demand
 		// Suspects is the requests that ran on endpoints when they died.
 		Suspects []Suspicion
-		// Models is what the sender's callers ask of each model.
+		// Models is the demand of the sender's callers for each model.
 		Models []ModelDemand
-		// Near is set where sender and receiver are of one cell. It is not
+		// Near is set if sender and receiver are in the same cell. It is not
 		// transmitted.
 		Near bool
-		// Ends is set where the receiver does not pass digests on. It is not
+		// Ends is set if the receiver does not forward digests. It is not
 		// transmitted.
 		Ends bool
 	}
 
-	// Intro is what a node tells of itself.
+	// Intro is a node's description of itself.
 	Intro struct {
 		Instance Instance
 		// Age is how long the node has been running.
 		Age time.Duration
 	}
 
-	// Mark says that an incarnation of an instance is leaving.
+	// Mark is the notice that an incarnation of an instance is leaving.
 	Mark struct {
 		Name        string
 		Kind        InstanceKind
 		Incarnation uint64
 	}
 
-	// News is the difference between two versions of the instance list.
+	// News is the delta between two versions of the instance list.
 	News struct {
 		Base    uint64
 		Version uint64
@@ -211,14 +212,14 @@
 		Removed []string
 	}
 
-	// ModelDemand is what callers ask of a model.
+	// ModelDemand is the demand of callers for a model.
 	ModelDemand struct {
 		Model string
 		// Rate is in tokens a second.
 		Rate float64
 	}
 
-	// Demand is what an account asks for.
+	// Demand is the demand of an account.
 	Demand struct {
 		Account string
 		// Rate is in tokens a second.
@@ -229,7 +230,7 @@
 	EndpointLoad struct {
 		Endpoint string
 		Load     Load
-		// State is the home's opinion of the endpoint.
+		// State is the endpoint's state as its owner sees it.
 		State State
 	}
 
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -2,8 +2,7 @@
 // machine that takes events with an explicit time and returns actions. It does
 // no I/O and starts no goroutine, so tests and replays drive it directly.
 //
-// Everything that the kernel decides comes from plug-ins, which register
-// themselves with a priority.
+// All decisions are made by plug-ins, which register themselves with a priority.
 package kernel
 
 import (
@@ -12,8 +11,8 @@
 	"time"
 )
 
-// Priorities of the built-in plug-ins; lower runs first. A plug-in may rely on
-// what those before it wrote into the View.
+// Priorities of the built-in plug-ins; lower runs first. A plug-in may read what
+// earlier ones wrote into the View.
 const (
 	PriorityConfig     = 100
 	PriorityMembership = 200
@@ -30,11 +29,11 @@
 	// that a plug-in declares.
 	Event any
 
-	// Action is something the caller of Step must do: one of the types in
+	// Action is something that the caller of Step must do: one of the types in
 	// event.go or one that a plug-in declares.
 	Action any
 
-	// Plugin is a part of the control state.
+	// Plugin holds a part of the control state.
 	Plugin interface {
 		// Handle applies an event.
 		Handle(now time.Time, ev Event, out *Output)
@@ -42,17 +41,17 @@
 		Publish(now time.Time, v *View)
 	}
 
-	// Beater is a Plugin that adds to every heartbeat the node sends.
+	// Beater is a Plugin that contributes to every heartbeat that the node sends.
 	Beater interface {
 		Beat(now time.Time, to string, b *Beat)
 	}
 
-	// Summarizer is a Plugin that adds to the digest of the node's cell.
+	// Summarizer is a Plugin that contributes to the digest of the node's cell.
 	Summarizer interface {
 		Summarize(now time.Time, d *Digest)
 	}
 
-	// Dumper is a Plugin that shows its state to operators. The result is
+	// Dumper is a Plugin that exposes its state to operators. The state is
 	// encoded as JSON.
 	Dumper interface {
 		Dump(now time.Time) (name string, state any)
@@ -71,15 +70,15 @@
 		Extensions []Extension
 	}
 
-	// Kernel is the control state of one node. It is not safe for concurrent
-	// use but for View.
+	// Kernel is the control state of one node. Only View is safe for concurrent
+	// use.
 	Kernel struct {
 		self    Node
 		plugins []prioritized
 		view    atomic.Pointer[View]
 	}
 
-	// Output collects what handling one event brought.
+	// Output collects the results of handling one event.
 	Output struct {
 		actions []Action
 		raised  []Event
@@ -114,8 +113,8 @@
 // Self returns the node the kernel controls.
 func (k *Kernel) Self() Node { return k.self }
 
-// Step applies an event and returns the actions it calls for. Where a plug-in
-// says so, a new View is published before Step returns.
+// Step applies an event and returns the resulting actions. If a plug-in called
+// Changed, a new View is published before Step returns.
 func (k *Kernel) Step(now time.Time, ev Event) []Action {
 	out := &Output{}
 	k.handle(now, ev, out)
@@ -156,7 +155,7 @@
 // the view never changes once published.
 func (k *Kernel) View() *View { return k.view.Load() }
 
-// Dump returns the state of every plug-in that shows one, by name.
+// Dump returns the state of every Dumper, by name.
 func (k *Kernel) Dump(now time.Time) map[string]any {
 	state := make(map[string]any)
 	for _, p := range k.plugins {
@@ -185,8 +184,8 @@
 // Do adds an action.
 func (o *Output) Do(a Action) { o.actions = append(o.actions, a) }
 
-// Raise hands an event to all plug-ins once they have handled the current one.
+// Raise queues an event for all plug-ins, to be handled after the current one.
 func (o *Output) Raise(ev Event) { o.raised = append(o.raised, ev) }
 
-// Changed asks for a new View.
+// Changed requests a new View.
 func (o *Output) Changed() { o.changed = true }
--- a/internal/kernel/suspicion.go
+++ b/internal/kernel/suspicion.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// IsolateAfter is how many endpoints must have died running a request before
-// the request is isolated. One death says nothing of the many requests that ran
-// there, a second may be chance; a request that was on three endpoints when
-// they died, the last time alone among the suspected, is taken for the cause.
+// IsolateAfter is the number of endpoints that must have died while running a
+// request before the request is isolated. One death does not tell which of the
+// endpoint's many requests caused it, and a second may be chance. A request that
+// three endpoints were running when they died, the last of them without any other
+// suspected request, is considered the cause.
 const IsolateAfter = 3
 
 // Suspicion is a request that ran on endpoints when they died.
 type Suspicion struct {
-	// Print identifies the request over the whole fleet.
+	// Print is the fingerprint of the request, the same on all nodes.
 	Print uint64
 	// Endpoints is the endpoints that died, sorted, at most IsolateAfter.
 	Endpoints []string
@@ -21,12 +22,13 @@
 	Age time.Duration
 }
 
-// Isolated reports whether the request must not be run any more.
+// Isolated reports whether the request must not be run again.
 func (s Suspicion) Isolated() bool { return len(s.Endpoints) >= IsolateAfter }
 
-// Merge returns the suspect with the endpoints of both, and whether that is
-// more than it had. Merging is commutative and idempotent, so that the order
-// and number of messages between nodes do not matter.
+// Merge returns the suspicion with the given endpoints added, at most
+// IsolateAfter in all, and whether any was new. Merging is idempotent, and
+// commutative below that limit, so that the order and number of messages between
+// nodes do not matter.
 func (s Suspicion) Merge(endpoints []string) (Suspicion, bool) {
 	merged := slices.Clone(s.Endpoints)
 	for _, e := range endpoints {
--- a/internal/kernel/view.go
+++ b/internal/kernel/view.go
@@ -14,12 +14,12 @@
 const (
 	// Live is an instance that takes work.
 	Live State = iota
-	// Suspect is an instance that did not answer of late; it gets work only
-	// where no live instance can take it.
+	// Suspect is an instance that failed to respond recently; it gets work only
+	// if no live instance can take it.
 	Suspect
 	// Leaving is an instance that finishes its work and takes no more.
 	Leaving
-	// Dead is an instance that answers no more.
+	// Dead is an instance that no longer responds.
 	Dead
 )
 
@@ -29,26 +29,26 @@
 	KindEndpoint InstanceKind = "endpoint"
 )
 
-// MaxAge is the age from which a View says nothing more of the present: the
-// control goroutine publishes more often unless the process was paused.
+// MaxAge is the age from which a View is out of date. The control goroutine
+// publishes more often than this unless the process was paused.
 const MaxAge = 2 * time.Second
 
 type (
-	// State is whether an instance takes work.
+	// State is the health of an instance, which decides whether it gets work.
 	State int
 
-	// InstanceKind tells nodes of the fleet from endpoints.
+	// InstanceKind distinguishes nodes of the fleet from endpoints.
 	InstanceKind string
 
-	// Instance is an entry of the platform's list.
+	// Instance is an entry of the platform's instance list.
 	Instance struct {
 		Name    string
 		Kind    InstanceKind
 		Zone    string
 		Service string
-		// Addr is where callers reach a node, and nodes an endpoint.
+		// Addr is the address of a node for callers, or of an endpoint for nodes.
 		Addr netip.AddrPort
-		// Peer is where nodes reach a node.
+		// Peer is the address of a node for its peers.
 		Peer    netip.AddrPort
 		Leaving bool
 	}
@@ -61,12 +61,12 @@
 		Caller      netip.AddrPort
 		Peer        netip.AddrPort
 		State       State
-		// Region is that of the availability zone; "" where it is unknown.
+		// Region is that of the availability zone; "" if unknown.
 		Region string
-		// Settled is set once the node has been live for so long that its peers
-		// know of it.
+		// Settled is set once the node has been live long enough for all its
+		// peers to know it.
 		Settled bool
-		// Active is the callers' requests in progress, as last heard.
+		// Active is the last reported number of callers' requests in progress.
 		Active int
 	}
 
@@ -77,23 +77,24 @@
 		Service string
 		Addr    netip.AddrPort
 		State   State
-		// Region is that of the availability zone; "" where it is unknown.
+		// Region is that of the availability zone; "" if unknown.
 		Region string
-		// Home is the node that admits work to the endpoint.
+		// Home is the owner: the node that admits work to the endpoint.
 		Home string
-		// Settling is set while nodes may disagree on the home: it changed of
-		// late, is not in the endpoint's zone, or the zone's nodes are in doubt.
+		// Settling is set while nodes may disagree on the owner: it changed
+		// recently, is not in the endpoint's zone, or a node of the zone is
+		// suspect.
 		Settling bool
-		// Load is the newest known load.
+		// Load is the last known load.
 		Load Load
-		// Reported is when the load was last told by the home or the endpoint;
-		// zero for a load that is a mean over the endpoint's cell.
+		// Reported is when the owner or the endpoint last reported the load;
+		// zero for a load that is a mean over the endpoint's cell or region.
 		Reported time.Time
-		// Models is the models that the endpoint has loaded; nil where it has
-		// not said.
+		// Models is the models that the endpoint has loaded; nil if it has not
+		// reported them.
 		Models []string
-		// Rest is until when the endpoint wants no requests from this node; zero
-		// where it takes them.
+		// Rest is the end of the backoff that the endpoint requested from this
+		// node; zero if there is none.
 		Rest time.Time
 	}
 
@@ -106,11 +107,12 @@
 		Endpoints []Endpoint
 		// Total is the sum of the loads of the region's live endpoints.
 		Total Load
-		// Live counts the region's endpoints that take work.
+		// Live is the number of the region's live endpoints.
 		Live int
 	}
 
-	// View is the state that traffic reads. It never changes once published.
+	// View is the state that request handling reads. It never changes once
+	// published.
 	View struct {
 		At   time.Time
 		Self Node
@@ -118,41 +120,41 @@
 		Leaving bool
 		// Manifest is the configuration in force; nil before the first.
 		Manifest *manifest.Manifest
-		// Conflict names a node that has another manifest of the revision in
-		// force; "" where none is known.
+		// Conflict is the name of a node that has a different manifest of the
+		// revision in force; "" if none is known.
 		Conflict string
-		// Nodes is every node not known to be dead, with the node itself,
-		// sorted by name.
+		// Nodes is every node not known to be dead, this node included, sorted
+		// by name.
 		Nodes []Node
-		// Fleet counts the nodes that should be there: the listed ones and
-		// those that beat, without the leaving ones.
+		// Fleet is the expected number of nodes: the listed ones and those that
+		// send heartbeats, without the leaving ones.
 		Fleet int
 		// Pools is the pool of each service, by name.
 		Pools map[string]*Pool
-		// Cell is the scope of the node's cell, Scopes the scope of the digests
-		// that tell of a zone.
+		// Cell is the scope of the node's cell. Scopes is the scope of the
+		// digests that cover a zone, by zone.
 		Cell   string
 		Scopes map[string]string
-		// Probes is the endpoints whose home the node is, dead ones included:
-		// it reads their loads.
+		// Probes is the endpoints that the node owns, dead ones included. The
+		// node reads their loads.
 		Probes []Endpoint
-		// Leavers is the endpoints that have told this node that they leave and whose
-		// home is another node: it asks them whether they have started again.
+		// Leavers is the endpoints of other owners that have notified this node
+		// that they are leaving. The node polls them for a restart.
 		Leavers []Endpoint
 		// Suspects is the requests that ran on endpoints when they died, by
-		// print.
+		// fingerprint.
 		Suspects map[uint64]Suspicion
-		// Watcher says that the node should hold waiting watches on the
-		// platform. It is set unless live peers of the zone are known to watch.
+		// Watcher is set if the node should hold long polls on the platform. It
+		// is unset only if enough live peers of the zone are known to watch.
 		Watcher bool
-		// ListVersion is the newest version of the platform's instance list of
-		// which the node has heard; a reader that holds an older one reads
-		// again.
+		// ListVersion is the newest version of the platform's instance list that
+		// the node knows of; a reader that has an older one reads again.
 		ListVersion uint64
 		// Listed is the version of the instance list that the node has applied.
 		Listed uint64
-		// Doubtful is set after a pause, until the node has heard from its
-		// peers again; a doubtful node starts nothing that needs authority.
+		// Doubtful is set after a pause, while the view may be stale: until the
+		// node has resynchronized with its peers. Meanwhile it starts nothing
+		// that needs authority.
 		Doubtful bool
 	}
 )
@@ -182,14 +184,14 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("kernel: %q is no state", text)
+	return fmt.Errorf("kernel: unknown state %q", text)
 }
 
 // Fresh reports whether the view is recent enough to act on with authority.
 //
-// Traffic goroutines may run before the control goroutine after a pause, and
-// read a view from before it; a home would then admit work that another node
-// admits by now. The age of the view shows the pause at once.
+// After a pause, request goroutines may run before the control goroutine and read
+// a view from before the pause. An owner would then admit work to endpoints that
+// another node has taken over. The age of the view reveals the pause at once.
 func (v *View) Fresh(now time.Time) bool {
 	return !v.Doubtful && now.Sub(v.At) < MaxAge
 }
@@ -205,10 +207,11 @@
 	return v.Nodes[i], true
 }
 
-// Takes reports whether the endpoint may be sent new requests by this node.
+// Takes reports whether this node may send new requests to the endpoint.
 func (e *Endpoint) Takes() bool { return (e.State == Live || e.State == Suspect) && e.Rest.IsZero() }
 
-// Place returns where in the pool the endpoint with the given name is.
+// Place returns the index of the endpoint with the given name and whether it is
+// in the pool.
 func (p *Pool) Place(name string) (int, bool) {
 	return slices.BinarySearchFunc(p.Endpoints, name, func(e Endpoint, name string) int {
 		return strings.Compare(e.Name, name)
