--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -11,7 +11,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// BenchmarkBeat makes, encodes, decodes and handles one heartbeat within a cell.
+// BenchmarkBeat creates, encodes, decodes and handles one heartbeat within a cell.
 func BenchmarkBeat(b *testing.B) {
 	for _, s := range []size{small, medium, target} {
 		b.Run(fmt.Sprint(s.nodes), func(b *testing.B) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// BenchmarkStep lets one tick pass at one node of a loaded fleet and publishes
-// its view.
+// BenchmarkStep handles one tick at one node of a loaded fleet and publishes its
+// view.
 func BenchmarkStep(b *testing.B) {
 	few := small
 	few.endpoints = 24
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestKernelMemory prints what one kernel keeps, views included.
+// TestKernelMemory logs and limits the heap size of one kernel, views included.
 func TestKernelMemory(t *testing.T) {
 	sizes := []size{small}
 	if *atTarget {
--- a/internal/membership/bytes_test.go
+++ b/internal/membership/bytes_test.go
@@ -10,9 +10,9 @@
 
 var atTarget = flag.Bool("target", false, "also measure fleets of 64 nodes and of the target size")
 
-// TestControlBytes prints what heartbeats cost, as really encoded and framed,
-// while the fleet carries its load and some accounts exceed their rates. The
-// limits are on both ways at the busiest node.
+// TestControlBytes logs the cost of heartbeats, as actually encoded and framed,
+// while the fleet is under load and some accounts exceed their rates. It limits the
+// sum of both directions at the busiest node.
 func TestControlBytes(t *testing.T) {
 	cases := []struct {
 		size  size
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -9,50 +9,52 @@
 )
 
 const (
-	// digestInterval is how often a digest is made. One that tells of nodes
-	// anew is sent at once, one that tells of loads and demands only waits for
-	// cellPause or regionPause, and one that has not changed is sent all the
-	// same after digestRefresh.
+	// digestInterval is how often digests are created. One with changed nodes is
+	// sent at once. One in which only loads or demands changed is sent no sooner
+	// than cellPause or regionPause after the last. An unchanged one is resent
+	// after digestRefresh, but no sooner than that pause.
 	digestInterval = time.Second
 	cellPause      = 3 * time.Second
 	regionPause    = 8 * time.Second
 	digestRefresh  = 5 * time.Second
-	// markHold is how long a leave mark outweighs a digest that does not name
-	// the node; later the digest speaks of a new incarnation.
+	// markHold is how long a leave notice overrides a digest that does not list
+	// the node as absent. After that, the digest is about a new incarnation.
 	markHold = 10 * time.Second
-	// digestStale is the age from which a cell's digest says nothing of the
-	// present, regionStale that of a region's.
+	// digestStale is the age from which a cell's digest is out of date, and
+	// regionStale that for a region's.
 	digestStale = 10 * time.Second
 	regionStale = 25 * time.Second
 )
 
 type (
-	// version orders the digests of one origin.
+	// version identifies a digest and orders those of one origin.
 	version struct {
 		origin uint64
 		serial uint64
 	}
 
-	stored struct {
+	storedDigest struct {
 		digest kernel.Digest
 		at     time.Time
 	}
 
-	// digests is the newest digest of each scope, the node's own included.
+	// digests holds the newest digest of each scope, including the node's own
+	// scopes. createdAt is when digests were last created; meshed is the last
+	// result of meshedRegions.
 	digests struct {
-		stored map[string]*stored
-		serial uint64
-		made   time.Time
-		meshed map[string]bool
+		stored    map[string]*storedDigest
+		serial    uint64
+		createdAt time.Time
+		meshed    map[string]bool
 	}
 )
 
-func (s *stored) version() version {
+func (s *storedDigest) version() version {
 	return version{origin: s.digest.Origin, serial: s.digest.Serial}
 }
 
-// stale reports whether a scope was told of too long ago. A scope that was
-// never told of is stale too: nobody speaks for it.
+// stale reports whether the digest of a scope is out of date. A scope without a
+// digest is stale too, because no node reports its state.
 func (d *digests) stale(now time.Time, scope string) bool {
 	s := d.stored[scope]
 	if strings.HasPrefix(scope, prefixRegion) {
@@ -61,12 +63,12 @@
 	return s == nil || now.Sub(s.at) >= digestStale
 }
 
-// summarize makes the digests that the node's roles ask for.
+// summarize creates the digests that the node's roles require.
 func (p *plugin) summarize(now time.Time) {
-	if now.Sub(p.digests.made) < digestInterval {
+	if now.Sub(p.digests.createdAt) < digestInterval {
 		return
 	}
-	p.digests.made = now
+	p.digests.createdAt = now
 	t := p.topology()
 	relay := slices.Contains(t.relays[t.cell], p.self.Name)
 	gateway := slices.Contains(t.gateways[t.region], p.self.Name)
@@ -75,15 +77,16 @@
 	}
 	cell := p.kernel.Digest(now, t.cell)
 	if relay {
-		p.digests.keep(now, cell, cellPause)
+		p.digests.store(now, cell, cellPause)
 	}
 	if gateway {
-		p.digests.keep(now, p.regional(now, t, cell), regionPause)
+		p.digests.store(now, p.regionDigest(now, t, cell), regionPause)
 	}
 }
 
-// regional returns the digest of the node's region.
-func (p *plugin) regional(now time.Time, t *topology, cell kernel.Digest) kernel.Digest {
+// regionDigest returns the digest of the node's region: that of its cell merged with
+// the current ones of the region's other cells.
+func (p *plugin) regionDigest(now time.Time, t *topology, cell kernel.Digest) kernel.Digest {
 	d := cell
 	d.Scope = t.region
 	d.Sums = slices.Clone(d.Sums)
@@ -100,72 +103,72 @@
 	return d
 }
 
-// keep stores a digest that the node made, under a new number where it differs
-// from the last or that one is due again.
-func (d *digests) keep(now time.Time, made kernel.Digest, pause time.Duration) {
-	s := d.stored[made.Scope]
-	if s != nil && s.digest.Origin == made.Origin && !d.due(now, s, &made, pause) {
+// store stores a digest that the node created, with a new serial, unless the stored
+// one is the node's own and not yet due to be replaced.
+func (d *digests) store(now time.Time, created kernel.Digest, pause time.Duration) {
+	s := d.stored[created.Scope]
+	if s != nil && s.digest.Origin == created.Origin && !d.due(now, s, &created, pause) {
 		return
 	}
 	d.serial++
-	made.Serial = d.serial
-	d.stored[made.Scope] = &stored{digest: made, at: now}
+	created.Serial = d.serial
+	d.stored[created.Scope] = &storedDigest{digest: created, at: now}
 }
 
-func (d *digests) due(now time.Time, s *stored, made *kernel.Digest, pause time.Duration) bool {
+func (d *digests) due(now time.Time, s *storedDigest, created *kernel.Digest, pause time.Duration) bool {
 	age := now.Sub(s.at)
 	switch {
-	case age >= max(digestRefresh, pause) || !s.digest.SameNodes(made):
+	case age >= max(digestRefresh, pause) || !s.digest.SameNodes(created):
 		return true
 	default:
-		return age >= pause && !s.digest.Near(made)
+		return age >= pause && !s.digest.Near(created)
 	}
 }
 
-// takeDigests stores digests of other cells and regions.
-func (p *plugin) takeDigests(now time.Time, from *member, list []kernel.Digest, out *kernel.Output) {
+// receiveDigests applies received digests of other cells and regions.
+func (p *plugin) receiveDigests(now time.Time, from *member, list []kernel.Digest, out *kernel.Output) {
 	t := p.topology()
 	for _, d := range list {
 		if d.Scope == t.cell || d.Scope == t.region || d.Origin == p.self.Incarnation {
 			continue
 		}
 		v := version{origin: d.Origin, serial: d.Serial}
-		from.told[d.Scope] = v
-		if p.digests.take(now, d) {
+		from.digestVersions[d.Scope] = v
+		if p.digests.receive(now, d) {
 			p.applyDigest(now, d, out)
 			out.Raise(kernel.Digested{Digest: d})
 		}
 	}
 }
 
-// take stores a digest and reports whether it is news. Two relays tell of the
-// same cell: while one's digest is recent, the other's that says the same is
-// not passed on a second time.
-func (d *digests) take(now time.Time, got kernel.Digest) bool {
-	s := d.stored[got.Scope]
+// receive stores a received digest unless it is redundant, and reports whether it did.
+// Two relays report the same cell: while the digest of one is recent, an equivalent
+// one of the other is not forwarded again.
+func (d *digests) receive(now time.Time, received kernel.Digest) bool {
+	s := d.stored[received.Scope]
 	if s == nil {
-		d.stored[got.Scope] = &stored{digest: got, at: now}
+		d.stored[received.Scope] = &storedDigest{digest: received, at: now}
 		return true
 	}
-	if s.digest.Origin == got.Origin && got.Serial <= s.digest.Serial {
+	if s.digest.Origin == received.Origin && received.Serial <= s.digest.Serial {
 		return false
 	}
 	recent := now.Sub(s.at) < digestRefresh+digestInterval
-	if s.digest.Origin != got.Origin && recent && s.digest.Near(&got) {
+	if s.digest.Origin != received.Origin && recent && s.digest.Near(&received) {
 		return false
 	}
-	*s = stored{digest: got, at: now}
+	*s = storedDigest{digest: received, at: now}
 	return true
 }
 
-// applyDigest takes over the states of the nodes that a digest tells of.
+// applyDigest applies the node states in a digest.
 func (p *plugin) applyDigest(now time.Time, d kernel.Digest, out *kernel.Output) {
 	for _, e := range d.Extra {
 		if e.Instance.Name == p.self.Name {
 			continue
 		}
 		m := p.member(now, e.Instance.Name)
-		m.extra = now
+		m.extraAt = now
 		m.describe(e.Instance, p.regions[e.Instance.Zone])
 		p.changed(out)
 	}
@@ -174,35 +177,35 @@
 		absent[a.Instance] = a.State
 	}
 	for name, m := range p.members {
-		if p.scope(m) != d.Scope {
+		if p.scopeOf(m) != d.Scope {
 			continue
 		}
-		m.absent = absent[name]
-		if m.leaving && m.absent == kernel.Live && !m.listLeaving && now.Sub(m.left) >= markHold {
+		m.digestState = absent[name]
+		if m.leaving && m.digestState == kernel.Live && !m.listLeaving && now.Sub(m.leftAt) >= markHold {
 			m.leaving = false
 		}
 		p.update(now, m, out)
 	}
 }
 
-// digestsFor returns the digests that a member needs of the node and was not
-// sent yet.
+// digestsFor returns the digests that this node must send to a member, without
+// those that the member has.
 func (p *plugin) digestsFor(m *member) []kernel.Digest {
 	var list []kernel.Digest
 	for _, scope := range p.scopesFor(m) {
 		s := p.digests.stored[scope]
-		if s == nil || m.told[scope] == s.version() {
+		if s == nil || m.digestVersions[scope] == s.version() {
 			continue
 		}
-		m.told[scope] = s.version()
+		m.digestVersions[scope] = s.version()
 		list = append(list, s.digest)
 	}
 	return list
 }
 
-// ends reports whether a member of the cell has no role in which it passes
-// digests on.
-func (p *plugin) ends(m *member) bool {
+// isLeaf reports whether a member is in the node's cell and has no role in which it
+// forwards digests.
+func (p *plugin) isLeaf(m *member) bool {
 	t := p.topology()
 	return t.cellOf(m.node) == t.cell && !slices.Contains(t.relays[t.cell], m.node.Name) &&
 		!slices.Contains(t.gateways[t.region], m.node.Name)
@@ -219,19 +222,20 @@
 		}
 	case t.cellOf(m.node) != t.cell:
 		if rank >= 0 {
-			return p.outward(t)
+			return p.outwardScopes(t)
 		}
-	case rank >= 0 && p.serves(t, rank, m):
-		return p.foreign(t, false)
+	case rank >= 0 && p.forwardsTo(t, rank, m):
+		return p.foreignScopes(t, false)
 	case gateway && slices.Contains(t.relays[t.cell], m.node.Name):
-		return p.foreign(t, true)
+		return p.foreignScopes(t, true)
 	}
 	return nil
 }
 
-// serves reports whether the relay of a rank passes digests on to a member of
-// its cell: the relays share the members, so that each costs the half.
-func (p *plugin) serves(t *topology, rank int, m *member) bool {
+// forwardsTo reports whether the relay with a rank forwards digests to a member of
+// its cell. Other relays always get them; the remaining members are divided among
+// the relays, which halves the cost for each.
+func (p *plugin) forwardsTo(t *topology, rank int, m *member) bool {
 	if slices.Contains(t.relays[t.cell], m.node.Name) {
 		return true
 	}
@@ -239,24 +243,26 @@
 	return int(share) == rank
 }
 
-// outward returns what relays tell other cells of the region: their own cell,
-// and the other regions where one of the region's gateways is of the cell.
-func (p *plugin) outward(t *topology) []string {
+// outwardScopes returns the scopes that relays report to other cells of the region:
+// their own cell, and the other regions if one of the region's gateways is in the
+// cell.
+func (p *plugin) outwardScopes(t *topology) []string {
 	scopes := []string{t.cell}
 	for _, name := range t.gateways[t.region] {
 		if m := p.members[name]; name == p.self.Name || m != nil && t.cellOf(m.node) == t.cell {
-			return append(scopes, p.foreign(t, true)...)
+			return append(scopes, p.foreignScopes(t, true)...)
 		}
 	}
 	return scopes
 }
 
-// foreign returns the scopes outside the node's cell, or outside its region.
-func (p *plugin) foreign(t *topology, regions bool) []string {
+// foreignScopes returns the scopes outside the node's cell, or with regions set only
+// those outside its region.
+func (p *plugin) foreignScopes(t *topology, regions bool) []string {
 	var scopes []string
 	for scope := range p.digests.stored {
-		_, cell := t.relays[scope]
-		if scope != t.cell && scope != t.region && !(regions && cell) {
+		_, isCell := t.relays[scope]
+		if scope != t.cell && scope != t.region && !(regions && isCell) {
 			scopes = append(scopes, scope)
 		}
 	}
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -9,8 +9,8 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// Guards against this failure: a node that was killed keeps getting asks for permits until the
-// platform's list drops it, which may take very long.
+// Guards against sending permit requests to a killed node until the platform's list
+// drops it, which may take very long.
 func TestKilledNodeOnStaleListIsSuspectThenDead(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
@@ -25,11 +25,11 @@
 	}
 	f.step(f.nodes["node-0000"], kernel.Instances{Version: 1, List: f.list})
 	f.run(kernel.DefaultTick)
-	require.Equal(t, kernel.Dead, f.state("node-0000", "node-0003"), "a stale list brings nobody back")
+	require.Equal(t, kernel.Dead, f.state("node-0000", "node-0003"), "a stale list does not restore a dead node")
 }
 
-// Guards against this failure: a new node gets no work for as long as the list lags.
-func TestNodeThatBeatsIsKnownBeforeItIsListed(t *testing.T) {
+// Guards against a new node that gets no work as long as the list lags.
+func TestUnlistedNodeIsKnownByHeartbeat(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
 	joined := kernel.Instance{Name: "node-new", Kind: kernel.KindNode, Zone: zone(1), Addr: addr(1, 99), Peer: addr(2, 99)}
@@ -39,16 +39,16 @@
 		seen, ok := f.nodes[name].View().Node("node-new")
 		require.True(t, ok, name)
 		require.Equal(t, joined.Peer, seen.Peer)
-		require.False(t, seen.Settled, "no home until all have heard of it")
+		require.False(t, seen.Settled, "not an owner before all peers know it")
 	}
 	f.run(5 * time.Second)
 	seen, _ := f.nodes["node-0000"].View().Node("node-new")
 	require.True(t, seen.Settled)
 }
 
-// Guards against this failure: a node that left is brought back, or one that restarted under
-// its name stays leaving forever.
-func TestLeaveMarkIsOfOneIncarnation(t *testing.T) {
+// Guards against a late heartbeat that restores a node that left, and against a node
+// that stays leaving forever after a restart under the same name.
+func TestLeaveNoticeEndsWithIncarnation(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
 	old := f.nodes["node-0002"]
@@ -64,9 +64,9 @@
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0002"))
 }
 
-// Guards against this failure: a leaving instance still gets new work seconds later, from nodes
-// that have not heard.
-func TestLeaveMarksAreInForceEverywhereWithinTwoSeconds(t *testing.T) {
+// Guards against a leaving instance that still gets new work seconds later, from
+// nodes that have not received the leave notice.
+func TestLeaveNoticesReachAllNodesWithinTwoSeconds(t *testing.T) {
 	f := newFleet(layered)
 	f.run(6 * time.Second)
 	const endpoint = "endpoint-0007"
@@ -84,7 +84,7 @@
 			require.Equal(t, kernel.Leaving, f.state(name, "node-0005"), name)
 		}
 	}
-	// Sticky: reports and lists that do not know of it change nothing.
+	// Leaving is sticky: reports, digests and the list without it do not undo it.
 	f.step(f.nodes[seen.Home], kernel.LoadReported{Endpoint: endpoint})
 	f.run(15 * time.Second)
 	for _, name := range f.names {
@@ -94,41 +94,41 @@
 	}
 }
 
-// Guards against this failure: a node that was paused takes every other node for dead and every
-// endpoint for its own.
-func TestPausedNodeDoubtsItselfNotOthers(t *testing.T) {
+// Guards against a node that after a pause considers all other nodes dead and takes
+// over every endpoint.
+func TestPausedNodeResyncsBeforeOwningEndpoints(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
 	n := f.nodes["node-0001"]
 	n.paused = true
 	f.run(20 * time.Second)
 	require.Equal(t, kernel.Dead, f.state("node-0000", "node-0001"))
-	f.cut = func(a, b string) bool { return a == "node-0001" || b == "node-0001" }
+	f.blocked = func(a, b string) bool { return a == "node-0001" || b == "node-0001" }
 	n.paused = false
-	require.False(t, n.View().Fresh(f.now), "traffic sees the pause before the first event")
+	require.False(t, n.View().Fresh(f.now), "the view is stale before the first event")
 	f.run(kernel.DefaultTick)
 	v := n.View()
 	require.True(t, v.Doubtful)
-	require.Empty(t, v.Probes, "it is nobody's home")
-	require.Len(t, v.Nodes, small.nodes, "nobody is dead")
+	require.Empty(t, v.Probes, "it owns no endpoint")
+	require.Len(t, v.Nodes, small.nodes, "no node is dead")
 	require.Equal(t, 1, n.rereads)
-	f.cut = func(string, string) bool { return false }
+	f.blocked = func(string, string) bool { return false }
 	f.run(1500 * time.Millisecond)
 	require.False(t, n.View().Doubtful)
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0001"))
 }
 
-// Guards against this failure: after a partition heals, all nodes greet each other in the same
-// instant, again and again, or keep disagreeing on homes.
-func TestPartitionHealsWithoutStampede(t *testing.T) {
+// Guards against bursts of heartbeats when a partition heals, because all nodes send
+// to each other at the same time, and against nodes that keep disagreeing on owners.
+func TestPartitionHealsWithoutHeartbeatBurst(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
 	side := func(name string) bool { return name < "node-0004" }
-	f.cut = func(a, b string) bool { return side(a) != side(b) }
+	f.blocked = func(a, b string) bool { return side(a) != side(b) }
 	f.run(time.Minute)
 	require.Equal(t, kernel.Dead, f.state("node-0000", "node-0007"))
 	f.resetBytes()
-	f.cut = func(string, string) bool { return false }
+	f.blocked = func(string, string) bool { return false }
 	most, last := 0, 0
 	for range 120 {
 		f.run(kernel.DefaultTick)
@@ -151,12 +151,13 @@
 	}
 }
 
-// Guards against this failure: homes move at every turn of a node that comes and goes.
-func TestFlappingNodeIsHeldBack(t *testing.T) {
+// Guards against endpoints that change their owners each time a flapping node comes
+// or goes.
+func TestFlappingNodeIsDamped(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
 	cut := false
-	f.cut = func(a, b string) bool { return cut && (a == "node-0004" || b == "node-0004") }
+	f.blocked = func(a, b string) bool { return cut && (a == "node-0004" || b == "node-0004") }
 	for range 4 {
 		cut = true
 		f.run(3 * time.Second)
@@ -168,8 +169,9 @@
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0004"))
 }
 
-// Guards against this failure: platform reads grow with the fleet.
-func TestWatchersPassTheListOn(t *testing.T) {
+// Guards against platform reads that grow with the fleet: only watchers read the
+// list, and other nodes get its changes from them.
+func TestWatchersForwardListChanges(t *testing.T) {
 	f := newFleet(layered)
 	f.run(6 * time.Second)
 	watchers := map[string]int{}
@@ -194,14 +196,15 @@
 		v := f.nodes[name].View()
 		require.Equal(t, uint64(2), v.ListVersion, "%s knows that there is a newer list", name)
 		if i%layered.zones == 0 {
-			require.Equal(t, uint64(2), v.Listed, "%s was told the change", name)
+			require.Equal(t, uint64(2), v.Listed, "%s received the delta", name)
 			_, ok := v.Pools["service-0"].Endpoint("endpoint-0000")
 			require.False(t, ok, name)
 		}
 	}
 }
 
-// Guards against this failure: instances that are gone come back for a moment, again and again.
+// Guards against removed instances that reappear whenever the platform answers with
+// an older list.
 func TestOlderListIsIgnored(t *testing.T) {
 	f := newFleet(small)
 	f.run(5 * time.Second)
@@ -212,5 +215,5 @@
 	require.Equal(t, uint64(5), n.View().Listed)
 	f.run(31 * time.Second)
 	f.step(n, kernel.Instances{Version: 2, List: f.list})
-	require.Equal(t, uint64(2), n.View().Listed, "numbering started anew")
+	require.Equal(t, uint64(2), n.View().Listed, "the platform restarted its numbering")
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// requestTokens is the mean size of a request, nodesPerAccount how many
-	// nodes an account's callers use at a time.
+	// requestTokens is the mean size of a request, nodesPerAccount the number of
+	// nodes that an account's callers use at a time.
 	requestTokens   = 1000
 	nodesPerAccount = 4
 )
 
 type (
-	// size is how large a fleet is.
+	// size is the size and load of a fleet.
 	size struct {
 		nodes, zones, regions, endpoints int
 		rate                             float64
-		hold                             time.Duration
+		duration                         time.Duration
 		mesh                             int
 		accounts                         int
 	}
 
-	// fakeNode is a real kernel with a fake network before it.
+	// fakeNode is a real kernel on a simulated network.
 	fakeNode struct {
 		*kernel.Kernel
 		gate     *gate.Gate
@@ -50,21 +50,21 @@
 		rereads  int
 	}
 
-	// fakeFleet passes heartbeats between kernels in virtual time, through the
+	// fakeFleet delivers heartbeats between kernels in virtual time, through the
 	// real codec.
 	fakeFleet struct {
-		now     time.Time
-		size    size
-		rand    *rand.Rand
-		m       *manifest.Manifest
-		list    []kernel.Instance
-		names   []string
-		nodes   map[string]*fakeNode
-		cut     func(a, b string) bool
-		done    []release
-		permits uint64
-		due     float64
-		// fetches are revisions under way, each for delay.
+		now      time.Time
+		size     size
+		rand     *rand.Rand
+		m        *manifest.Manifest
+		list     []kernel.Instance
+		names    []string
+		nodes    map[string]*fakeNode
+		blocked  func(a, b string) bool
+		releases []release
+		permits  uint64
+		pending  float64
+		// fetches are the fetches of revisions in progress; each takes delay.
 		fetches []fetch
 		delay   time.Duration
 	}
@@ -83,17 +83,17 @@
 )
 
 var (
-	small = size{nodes: 8, zones: 3, regions: 1, endpoints: 15, rate: 20, hold: time.Second, accounts: 10}
-	// layered has all levels of a large fleet with few nodes.
-	layered = size{nodes: 18, zones: 6, regions: 2, endpoints: 48, rate: 60, hold: 2 * time.Second, mesh: 4, accounts: 10}
-	medium  = size{nodes: 64, zones: 6, regions: 2, endpoints: 240, rate: 560, hold: 12 * time.Second, accounts: 300}
-	target  = size{nodes: 330, zones: 19, regions: 5, endpoints: 1200, rate: 2900, hold: 12 * time.Second, accounts: 1600}
+	small = size{nodes: 8, zones: 3, regions: 1, endpoints: 15, rate: 20, duration: time.Second, accounts: 10}
+	// layered has the cells and regions of a large fleet, but few nodes.
+	layered = size{nodes: 18, zones: 6, regions: 2, endpoints: 48, rate: 60, duration: 2 * time.Second, mesh: 4, accounts: 10}
+	medium  = size{nodes: 64, zones: 6, regions: 2, endpoints: 240, rate: 560, duration: 12 * time.Second, accounts: 300}
+	target  = size{nodes: 330, zones: 19, regions: 5, endpoints: 1200, rate: 2900, duration: 12 * time.Second, accounts: 1600}
 )
 
 func newFleet(s size) *fakeFleet {
 	f := &fakeFleet{
 		now: time.Unix(1000, 0), size: s, rand: rand.New(rand.NewPCG(1, 2)),
-		nodes: map[string]*fakeNode{}, cut: func(string, string) bool { return false },
+		nodes: map[string]*fakeNode{}, blocked: func(string, string) bool { return false },
 	}
 	f.m = &manifest.Manifest{
 		Revision:    1,
@@ -129,9 +129,9 @@
 	return f
 }
 
-// fill admits as much work as is in progress at the fleet's rate.
+// fill admits as many requests as are in progress at the fleet's rate.
 func (f *fakeFleet) fill() {
-	count := f.size.rate * f.size.hold.Seconds()
+	count := f.size.rate * f.size.duration.Seconds()
 	for i := range int(count) {
 		f.admit(f.now.Add(time.Duration(float64(i) / f.size.rate * float64(time.Second))))
 	}
@@ -178,7 +178,7 @@
 func (f *fakeFleet) beat(from *fakeNode, to string) {
 	n, name := f.nodes[to], from.Self().Name
 	msg := f.wire(from, n, from.Beat(f.now, to), callBytes)
-	if n == nil || n.down || n.paused || f.cut(name, to) {
+	if n == nil || n.down || n.paused || f.blocked(name, to) {
 		f.step(from, kernel.BeatFailed{Node: to})
 		return
 	}
@@ -207,7 +207,7 @@
 	return peer.DecodeBeat(&msg)
 }
 
-// run lets time pass.
+// run advances the virtual time in ticks.
 func (f *fakeFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(kernel.DefaultTick)
@@ -222,13 +222,13 @@
 	}
 }
 
-// deliver ends the fetches that are due.
+// deliver completes the fetches that are due.
 func (f *fakeFleet) deliver() {
 	for len(f.fetches) > 0 && !f.now.Before(f.fetches[0].at) {
 		fetch := f.fetches[0]
 		f.fetches = f.fetches[1:]
 		from := f.nodes[fetch.from]
-		if from.down || from.paused || f.cut(fetch.from, fetch.to.Self().Name) {
+		if from.down || from.paused || f.blocked(fetch.from, fetch.to.Self().Name) {
 			f.step(fetch.to, kernel.ConfigFailed{Node: fetch.from})
 			continue
 		}
@@ -236,22 +236,22 @@
 	}
 }
 
-// work admits and ends requests at the fleet's rate.
+// work admits and completes requests at the fleet's rate.
 func (f *fakeFleet) work() {
-	for len(f.done) > 0 && !f.now.Before(f.done[0].at) {
-		f.done[0].gate.Release(f.now, gate.Return{ID: f.done[0].id})
-		f.done = f.done[1:]
+	for len(f.releases) > 0 && !f.now.Before(f.releases[0].at) {
+		f.releases[0].gate.Release(f.now, gate.Return{ID: f.releases[0].id})
+		f.releases = f.releases[1:]
 	}
-	f.due += f.size.rate * kernel.DefaultTick.Seconds()
-	for ; f.due >= 1; f.due-- {
-		f.admit(f.now.Add(f.size.hold))
-		f.ask()
+	f.pending += f.size.rate * kernel.DefaultTick.Seconds()
+	for ; f.pending >= 1; f.pending-- {
+		f.admit(f.now.Add(f.size.duration))
+		f.offer()
 	}
 }
 
-// ask brings a request to one of the nodes that its account uses. The first
-// accounts ask for more than their rates, the last for little.
-func (f *fakeFleet) ask() {
+// offer sends a request to one of the nodes that its account uses. The first accounts
+// exceed their rates, the last demand little.
+func (f *fakeFleet) offer() {
 	part := f.rand.Float64()
 	account := int(part * part * float64(f.size.accounts))
 	at := account*7 + f.rand.IntN(nodesPerAccount)
@@ -272,10 +272,10 @@
 	g := f.nodes[seen.Home].gate
 	f.permits++
 	g.Admit(f.now, gate.Ask{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
-	f.done = append(f.done, release{at: until, gate: g, id: f.permits})
+	f.releases = append(f.releases, release{at: until, gate: g, id: f.permits})
 }
 
-// state returns how a node sees another.
+// state returns a node's state as observer sees it.
 func (f *fakeFleet) state(observer, name string) kernel.State {
 	n, ok := f.nodes[observer].View().Node(name)
 	if !ok {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -11,46 +11,50 @@
 	node    kernel.Node
 	listed  bool
 	leaving bool
-	// listless is set while the node says that it has no instance list.
+	// listless is set while the node reports that it has no instance list.
 	//
-	// A node that starts while the platform is down beats as any other, but
-	// knows no endpoints. Taken for live, it would become the home of some, and
-	// every ask for them would be answered that they are gone: requests wait
-	// for their deadlines though the endpoints are idle.
+	// A node that starts while the platform is down sends heartbeats like any
+	// other, but knows no endpoints. Considered live, it would own some, and
+	// would answer every permit request for them that they are gone: requests
+	// would wait until their deadlines although the endpoints are idle.
 	listless bool
-	// left is when the leave mark was learned; listLeaving is what the list
-	// says.
-	left        time.Time
+	// leftAt is when the leave notice was received; listLeaving is what the
+	// instance list says.
+	leftAt      time.Time
 	listLeaving bool
-	// raw is the state without regard to flaps.
-	raw kernel.State
-	// started is when the incarnation started, by its own account.
+	// observed is the state by heartbeats or digests, without leave notices and
+	// flap damping.
+	observed kernel.State
+	// started is when the incarnation started, as reported by itself.
 	started time.Time
-	// heard is the last heartbeat; known is when the node was first told of.
-	heard time.Time
-	known time.Time
-	// since is when the node became live.
-	since    time.Time
-	failures int
-	damper   kernel.Damper
-	// absent is the state that the newest digest of its cell tells.
-	absent kernel.State
-	// extra is when a digest last told of the node, which is not on the list.
-	extra time.Time
-	// introduced is the incarnation that was sent an Intro.
+	// lastBeat is when the last heartbeat was received. knownSince is when the
+	// node became known, or the end of this process's last pause.
+	lastBeat   time.Time
+	knownSince time.Time
+	// liveSince is when the node became live.
+	liveSince time.Time
+	failures  int
+	damper    kernel.Damper
+	// digestState is the state in the newest digest of its cell or region.
+	digestState kernel.State
+	// extraAt is when a digest last reported the node as live but not listed.
+	extraAt time.Time
+	// introduced is the incarnation to which an Intro was last sent.
 	introduced uint64
-	// next is when the next heartbeat is due; pause grows while it is dead.
-	next  time.Time
-	pause time.Duration
-	// told is the newest digest the node was sent, by scope.
-	told map[string]version
+	// nextBeat is when the next heartbeat is due. retryPause is the interval
+	// while the node is dead, which grows.
+	nextBeat   time.Time
+	retryPause time.Duration
+	// digestVersions is the newest digest of each scope that was sent to the
+	// node or received from it.
+	digestVersions map[string]version
 }
 
 const (
-	// failuresSuspect is the heartbeats in a row that fail before a node that
-	// answered before is suspect.
+	// failuresSuspect is the number of consecutive failed heartbeats from which
+	// a node is suspect. If it has never sent a heartbeat, one is enough.
 	failuresSuspect = 2
-	// failurePause is the time until a failed heartbeat is sent again.
+	// failurePause is the delay before a failed heartbeat is retried.
 	failurePause = 250 * time.Millisecond
 )
 
@@ -61,7 +65,7 @@
 	}}
 }
 
-// describe takes over what an instance entry says of the node.
+// describe copies the fields of an instance entry.
 func (m *member) describe(i kernel.Instance, region string) {
 	m.node.Name = i.Name
 	m.node.Zone = i.Zone
@@ -70,28 +74,28 @@
 	m.node.Peer = i.Peer
 }
 
-// leave notes that the incarnation is leaving.
+// leave marks the incarnation as leaving.
 func (m *member) leave(now time.Time) {
 	if !m.leaving {
 		m.leaving = true
-		m.left = now
+		m.leftAt = now
 	}
 }
 
-// renew forgets what belongs to an earlier incarnation.
-func (m *member) renew(incarnation uint64, started time.Time) {
+// reset starts a new incarnation and discards the state of the previous one.
+func (m *member) reset(incarnation uint64, started time.Time) {
 	m.node.Incarnation = incarnation
 	m.started = started
 	m.leaving = false
 	m.introduced = 0
-	m.told = map[string]version{}
+	m.digestVersions = map[string]version{}
 }
 
-// list applies the platform's list.
+// list applies the platform's instance list.
 //
-// The list lags: it names nodes that are dead and lacks nodes that beat. A node
-// that is not listed stays as long as it beats, and a listed one that is silent
-// is dead all the same.
+// The list lags: it contains nodes that are dead and lacks nodes that send
+// heartbeats. An unlisted node is kept as long as it sends heartbeats, and a
+// listed one that is unreachable is dead all the same.
 func (p *plugin) list(now time.Time, list []kernel.Instance, out *kernel.Output) {
 	for _, m := range p.members {
 		m.listed = false
@@ -107,11 +111,11 @@
 		m := p.member(now, i.Name)
 		m.listed = true
 		m.describe(i, p.regions[i.Zone])
-		// The list may go on about an incarnation that has ended, so only its
-		// turn to leaving counts.
-		turned := i.Leaving && !m.listLeaving
+		// The entry may still be that of an incarnation that has ended, so only
+		// its change to leaving counts.
+		becameLeaving := i.Leaving && !m.listLeaving
 		m.listLeaving = i.Leaving
-		if turned {
+		if becameLeaving {
 			m.leave(now)
 			out.Raise(kernel.Marked{Mark: kernel.Mark{
 				Name: i.Name, Kind: kernel.KindNode, Incarnation: m.node.Incarnation,
@@ -122,8 +126,9 @@
 	p.changed(out)
 }
 
-// listSelf takes the node's own addresses from the list where it listens on
-// every address of its instance and so cannot tell which one others reach.
+// listSelf applies the node's own list entry. It takes the addresses from there
+// if the node listens on all addresses of its instance, because it cannot tell
+// which of them others reach.
 func (p *plugin) listSelf(i kernel.Instance, out *kernel.Output) {
 	if p.self.Caller.Addr().IsUnspecified() {
 		p.self.Caller = i.Addr
@@ -141,7 +146,7 @@
 func (p *plugin) member(now time.Time, name string) *member {
 	m := p.members[name]
 	if m == nil {
-		m = &member{known: now, since: now, next: now, told: map[string]version{}}
+		m = &member{knownSince: now, liveSince: now, nextBeat: now, digestVersions: map[string]version{}}
 		p.members[name] = m
 	}
 	return m
@@ -156,32 +161,33 @@
 	if m == nil {
 		return
 	}
-	m.heard = now
+	m.lastBeat = now
 	m.failures = 0
-	m.pause = 0
+	m.retryPause = 0
 	m.listless = b.Listless
 	if m.node.Active != b.Active {
 		m.node.Active = b.Active
 		p.nodes = nil
 	}
-	m.next = p.due(now, m)
+	m.nextBeat = p.due(now, m)
 	if b.Leaving {
 		m.leave(now)
 	}
-	if p.doubt.active {
-		p.doubt.heard[b.Node] = true
-		p.reassure(now, out)
+	if p.resync.active {
+		p.resync.received[b.Node] = true
+		p.checkResync(now, out)
 	}
-	p.takeDigests(now, m, b.Digests, out)
+	p.receiveDigests(now, m, b.Digests, out)
 	p.update(now, m, out)
 }
 
-// sender returns the member that sent a heartbeat, nil where the heartbeat is
-// of an incarnation that has ended or of a node that nobody knows.
+// sender returns the member that sent a heartbeat. It returns nil if the heartbeat
+// is of an incarnation that has ended, or of an unknown node without an Intro.
 //
-// A heartbeat of an earlier incarnation may be under way when the node restarts
-// under its name. Taken for news, it would bring back the old incarnation, and
-// with it leave marks and addresses. The incarnation that started last wins.
+// A heartbeat of the previous incarnation may be in flight when a node restarts
+// under the same name. Applied as the newest state, it would restore the old
+// incarnation with its leave notices and addresses. The incarnation that started
+// last wins.
 func (p *plugin) sender(now time.Time, b *kernel.Beat, out *kernel.Output) *member {
 	m := p.members[b.Node]
 	if m == nil && b.Intro == nil {
@@ -191,7 +197,7 @@
 		m = p.member(now, b.Node)
 	}
 	if m.node.Incarnation != b.Incarnation {
-		if !p.succeed(now, m, b) {
+		if !p.acceptIncarnation(now, m, b) {
 			return nil
 		}
 		p.changed(out)
@@ -204,27 +210,29 @@
 	return m
 }
 
-// succeed takes over a new incarnation, and reports whether it did.
-func (p *plugin) succeed(now time.Time, m *member, b *kernel.Beat) bool {
+// acceptIncarnation switches a member to the incarnation of a heartbeat, and
+// reports whether it did: if none was known, the known one is unreachable, or the
+// Intro says that the new one started later.
+func (p *plugin) acceptIncarnation(now time.Time, m *member, b *kernel.Beat) bool {
 	started := now
 	if b.Intro != nil {
 		started = now.Add(-b.Intro.Age)
 	}
 	first := m.node.Incarnation == 0
-	silent := now.Sub(m.heard) >= p.config.Suspect
+	unreachable := now.Sub(m.lastBeat) >= p.config.Suspect
 	later := b.Intro != nil && started.After(m.started)
-	if !first && !later && !silent {
+	if !first && !later && !unreachable {
 		return false
 	}
 	if first && m.leaving {
 		m.node.Incarnation, m.started = b.Incarnation, started
 		return true
 	}
-	m.renew(b.Incarnation, started)
+	m.reset(b.Incarnation, started)
 	return true
 }
 
-// fail applies a heartbeat that got no answer.
+// fail applies a failed heartbeat.
 func (p *plugin) fail(now time.Time, name string, out *kernel.Output) {
 	m := p.members[name]
 	if m == nil {
@@ -232,14 +240,14 @@
 	}
 	m.failures++
 	m.introduced = 0
-	m.told = map[string]version{}
+	m.digestVersions = map[string]version{}
 	if m.node.State != kernel.Dead {
-		m.next = now.Add(failurePause)
+		m.nextBeat = now.Add(failurePause)
 	}
 	p.update(now, m, out)
 }
 
-// mark applies a leave mark. A mark without an incarnation is of the one that
+// mark applies a leave notice. A notice without an incarnation is for the one that
 // the platform lists.
 func (p *plugin) mark(now time.Time, mark kernel.Mark, out *kernel.Output) {
 	if mark.Kind != kernel.KindNode {
@@ -263,7 +271,8 @@
 	}
 }
 
-// age updates the states of all members and drops those that are gone.
+// age updates the states of all members, and removes those that are dead and not
+// listed.
 func (p *plugin) age(now time.Time, out *kernel.Output) {
 	for name, m := range p.members {
 		p.update(now, m, out)
@@ -275,18 +284,18 @@
 	}
 }
 
-// update works out a member's state.
+// update derives a member's state.
 func (p *plugin) update(now time.Time, m *member, out *kernel.Output) {
-	raw := p.evidence(now, m)
-	if raw == kernel.Live && m.raw != kernel.Live {
+	observed := p.observe(now, m)
+	if observed == kernel.Live && m.observed != kernel.Live {
 		m.damper.Flap(now)
 	}
-	m.raw = raw
+	m.observed = observed
 	state := m.state(now)
 	if state == kernel.Live && m.node.State != kernel.Live {
-		m.since = now
+		m.liveSince = now
 	}
-	settled := state == kernel.Live && now.Sub(m.since) >= p.config.Settle
+	settled := state == kernel.Live && now.Sub(m.liveSince) >= p.config.Settle
 	if state == m.node.State && settled == m.node.Settled {
 		return
 	}
@@ -301,46 +310,46 @@
 
 func (m *member) state(now time.Time) kernel.State {
 	switch {
-	case m.raw == kernel.Dead:
+	case m.observed == kernel.Dead:
 		return kernel.Dead
-	case m.leaving || m.raw == kernel.Leaving:
+	case m.leaving || m.observed == kernel.Leaving:
 		return kernel.Leaving
-	case m.raw == kernel.Live && (m.listless || m.damper.Quiet(now)):
+	case m.observed == kernel.Live && (m.listless || m.damper.Quiet(now)):
 		return kernel.Suspect
 	default:
-		return m.raw
+		return m.observed
 	}
 }
 
-// evidence returns the state by heartbeats for the nodes that the node beats to,
-// and by digests for all others.
-func (p *plugin) evidence(now time.Time, m *member) kernel.State {
-	heard := m.heard
-	if heard.Before(m.known) {
-		heard = m.known
-	}
-	silent := now.Sub(heard)
+// observe returns a member's state by heartbeats if the node exchanges heartbeats
+// with it, and by digests otherwise.
+func (p *plugin) observe(now time.Time, m *member) kernel.State {
+	lastBeat := m.lastBeat
+	if lastBeat.Before(m.knownSince) {
+		lastBeat = m.knownSince
+	}
+	sinceBeat := now.Sub(lastBeat)
 	if !p.linked(m) {
-		return p.told(now, m, silent)
+		return p.observeByDigest(now, m, sinceBeat)
 	}
-	suspect := m.failures >= failuresSuspect || m.failures > 0 && m.heard.IsZero()
+	suspect := m.failures >= failuresSuspect || m.failures > 0 && m.lastBeat.IsZero()
 	switch {
-	case silent >= p.config.Dead:
+	case sinceBeat >= p.config.Dead:
 		return kernel.Dead
-	case silent >= p.config.Suspect || suspect:
+	case sinceBeat >= p.config.Suspect || suspect:
 		return kernel.Suspect
 	default:
 		return kernel.Live
 	}
 }
 
-func (p *plugin) told(now time.Time, m *member, silent time.Duration) kernel.State {
+func (p *plugin) observeByDigest(now time.Time, m *member, sinceBeat time.Duration) kernel.State {
 	switch {
-	case !m.listed && silent >= p.config.Dead && now.Sub(m.extra) >= regionStale:
+	case !m.listed && sinceBeat >= p.config.Dead && now.Sub(m.extraAt) >= regionStale:
 		return kernel.Dead
-	case m.absent != kernel.Live:
-		return m.absent
-	case p.digests.stale(now, p.scope(m)) && silent >= digestStale:
+	case m.digestState != kernel.Live:
+		return m.digestState
+	case p.digests.stale(now, p.scopeOf(m)) && sinceBeat >= digestStale:
 		return kernel.Suspect
 	default:
 		return kernel.Live
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
-// Package membership is the kernel's plug-in that knows the fleet's nodes: it
-// merges the platform's lagging list with heartbeats between peers.
+// Package membership is the kernel's plug-in that tracks the fleet's nodes: it
+// merges the platform's lagging instance list with heartbeats between peers.
 //
-// Nodes of one cell, which is an availability zone or a whole small region,
+// All nodes of one cell, which is an availability zone or a whole small region,
 // exchange heartbeats with each other. A few relays of each cell exchange
 // digests with those of the region's other cells, and a few gateways of each
 // region with those of other regions, so that a node's cost does not grow with
-// the fleet. Relays, gateways and watchers are the first in a rendezvous order
-// over live nodes: nobody elects them, and two nodes that disagree only send a
-// message too many.
+// the fleet. Relays, gateways and watchers are the first live nodes of a
+// rendezvous order. There is no election: if two nodes disagree, only a redundant
+// message is sent.
 package membership
 
 import (
@@ -32,21 +32,22 @@
 	// Config is the settings of the plug-in.
 	Config struct {
 		// Interval is the time between two heartbeats to the same peer in a
-		// small cell; in a large one it is up to a second.
+		// small cell. In a large one it grows to 1.2 seconds.
 		Interval time.Duration
-		// Suspect is the silence after which a node is suspect.
+		// Suspect is the time without a heartbeat after which a node is suspect.
 		Suspect time.Duration
-		// Dead is the silence after which a node is dead.
+		// Dead is the time without a heartbeat after which a node is dead.
 		Dead time.Duration
-		// Settle is how long a node is live before it becomes a home.
+		// Settle is how long a node must be live before it is preferred as an
+		// owner of endpoints.
 		Settle time.Duration
-		// Pause is the time between two events from which the process is taken
-		// to have been paused.
+		// Pause is the gap between two events from which the process is
+		// considered to have been paused.
 		Pause time.Duration
 		// Mesh is the number of nodes up to which a region is one cell.
 		Mesh int
-		// Active returns the callers' requests in progress at the node. It is
-		// called for each heartbeat and each view.
+		// Active returns the number of callers' requests in progress at the
+		// node. It is called for each heartbeat and each view.
 		Active func() int
 	}
 
@@ -58,33 +59,34 @@
 		self    kernel.Node
 		members map[string]*member
 		regions map[string]string
-		// revision is that of the regions.
-		revision uint64
-		leaving  bool
-		serial   uint64
-		started  time.Time
-		last     time.Time
-		urgent   bool
-		settled  bool
-		// hasList is set once the node had an instance list.
+		// revision is the configuration revision that regions comes from.
+		revision  uint64
+		leaving   bool
+		serial    uint64
+		started   time.Time
+		lastEvent time.Time
+		urgent    bool
+		settled   bool
+		// hasList is set once the node has received an instance list.
 		hasList bool
-		doubt   doubt
+		resync  resync
 		topo    *topology
 		digests digests
-		// nodes is what the last view showed; nil where it must be made anew.
+		// nodes is the node list of the last view; nil if it must be rebuilt.
 		nodes []kernel.Node
 	}
 
-	// doubt is the state of a node that was paused.
-	doubt struct {
-		active bool
-		since  time.Time
-		heard  map[string]bool
+	// resync is the state of the resynchronization with peers after a pause.
+	// received holds the peers that have sent a heartbeat since then.
+	resync struct {
+		active   bool
+		since    time.Time
+		received map[string]bool
 	}
 )
 
-// doubtLast is how long a node that was paused waits for its peers.
-const doubtLast = 5 * time.Second
+// resyncTimeout is how long a node waits for its peers after a pause.
+const resyncTimeout = 5 * time.Second
 
 // New returns the extension that registers the plug-in. Zero settings take
 // their defaults.
@@ -109,14 +111,14 @@
 		self:    k.Self(),
 		members: map[string]*member{},
 		regions: map[string]string{},
-		digests: digests{stored: map[string]*stored{}},
+		digests: digests{stored: map[string]*storedDigest{}},
 	}
 	k.Register(p, kernel.PriorityMembership)
 }
 
 // Handle applies the platform's list, heartbeats and the passing of time.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
-	p.clock(now, out)
+	p.detectPause(now, out)
 	switch ev := ev.(type) {
 	case kernel.Listed:
 		p.hasList = true
@@ -143,16 +145,18 @@
 		p.nodes = p.alive(now)
 	}
 	v.Nodes = p.nodes
-	v.Self = p.own(now)
+	v.Self = p.selfNode(now)
 	v.Watcher = p.watcher()
-	v.Fleet = p.fleet()
-	v.Doubtful = p.doubt.active
+	v.Fleet = p.expectedNodes()
+	v.Doubtful = p.resync.active
 	v.Cell = p.topology().cell
 	v.Scopes = p.topology().scopes
 	v.Leaving = v.Leaving || p.leaving
 }
 
-// Beat numbers the heartbeat and adds what a peer needs to know the sender.
+// Beat sets the heartbeat's sequence number and the sender's state, and adds the
+// digests for the receiver. It adds an Intro if the receiver may not know the
+// sender.
 func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
 	p.serial++
 	b.Serial = p.serial
@@ -164,20 +168,20 @@
 		b.Intro = p.intro(now)
 		return
 	}
-	b.Near = p.near(m)
+	b.Near = p.inCell(m)
 	if m.introduced != m.node.Incarnation || m.node.Incarnation == 0 {
 		m.introduced = m.node.Incarnation
 		b.Intro = p.intro(now)
 	}
 	b.Digests = p.digestsFor(m)
-	b.Ends = p.ends(m)
+	b.Ends = p.isLeaf(m)
 }
 
-// Summarize adds the nodes of the cell that the list does not tell right.
+// Summarize adds the nodes of the cell that differ from the instance list.
 func (p *plugin) Summarize(_ time.Time, d *kernel.Digest) {
 	for _, name := range p.names() {
 		m := p.members[name]
-		if !p.near(m) {
+		if !p.inCell(m) {
 			continue
 		}
 		switch {
@@ -189,7 +193,7 @@
 	}
 }
 
-// Dump shows every node that was ever heard of, and the node's roles.
+// Dump exposes every known member and the node's roles.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	nodes := make(map[string]kernel.Node, len(p.members))
 	for name, m := range p.members {
@@ -198,11 +202,11 @@
 	t := p.topology()
 	return "membership", map[string]any{
 		"nodes": nodes, "cell": t.cell, "relays": t.relays[t.cell], "gateways": t.gateways[t.region],
-		"watcher": p.watcher(), "doubtful": p.doubt.active,
+		"watcher": p.watcher(), "doubtful": p.resync.active,
 	}
 }
 
-// accept takes over the regions of the zones, never from an older revision.
+// accept applies the regions of the zones, never from an older revision.
 func (p *plugin) accept(ev kernel.Accepted, out *kernel.Output) {
 	if ev.Manifest.Revision < p.revision {
 		return
@@ -219,10 +223,10 @@
 	p.changed(out)
 }
 
-// alive returns the node itself and every other not dead, sorted by name.
+// alive returns this node and all members that are not dead, sorted by name.
 func (p *plugin) alive(now time.Time) []kernel.Node {
 	nodes := make([]kernel.Node, 0, len(p.members)+1)
-	nodes = append(nodes, p.own(now))
+	nodes = append(nodes, p.selfNode(now))
 	for _, m := range p.members {
 		if m.node.State != kernel.Dead {
 			nodes = append(nodes, m.node)
@@ -232,8 +236,8 @@
 	return nodes
 }
 
-// fleet counts the nodes that should be there, the dead ones included.
-func (p *plugin) fleet() int {
+// expectedNodes returns the expected number of nodes, which includes the dead ones.
+func (p *plugin) expectedNodes() int {
 	count := 1
 	for _, m := range p.members {
 		if m.node.State != kernel.Leaving {
@@ -243,14 +247,14 @@
 	return count
 }
 
-// own returns the node itself as its peers should see it.
-func (p *plugin) own(now time.Time) kernel.Node {
+// selfNode returns this node as its peers should see it.
+func (p *plugin) selfNode(now time.Time) kernel.Node {
 	self := p.self
 	self.Settled = now.Sub(p.started) >= p.config.Settle
 	switch {
 	case p.leaving:
 		self.State = kernel.Leaving
-	case p.doubt.active, !p.hasList:
+	case p.resync.active, !p.hasList:
 		self.State = kernel.Suspect
 	}
 	return self
@@ -266,8 +270,8 @@
 	}
 }
 
-// names returns the names of all members, sorted, so that nothing depends on
-// the order of a map.
+// names returns the names of all members, sorted so that nothing depends on map
+// order.
 func (p *plugin) names() []string {
 	names := make([]string, 0, len(p.members))
 	for name := range p.members {
@@ -277,16 +281,16 @@
 	return names
 }
 
-// changed notes that nodes came, went or changed their state.
+// changed invalidates what is cached of the members, and requests a new view.
 func (p *plugin) changed(out *kernel.Output) {
 	p.nodes = nil
 	p.topo = nil
 	out.Changed()
 }
 
-func setDefault[T comparable](v *T, standard T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
-		*v = standard
+		*v = def
 	}
 }
--- a/internal/membership/revision_test.go
+++ b/internal/membership/revision_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// inForce is the time in which a change must be in force everywhere.
+	// inForce is the time within which a change must be in force on all nodes.
 	inForce = 4 * time.Second
-	// fetchDelay is the time that one node takes to fetch a revision.
+	// fetchDelay is the time that a node takes to fetch a revision.
 	fetchDelay = 200 * time.Millisecond
 )
 
-// accept puts the next revision in force on one node.
+// accept puts a new revision in force on one node and returns its number.
 func (f *fakeFleet) accept(name string) uint64 {
 	m := f.m.Clone()
 	m.Revision++
@@ -43,7 +43,7 @@
 	return f.now.Sub(began)
 }
 
-// Guards against this failure: some nodes run with old settings long after a change.
+// Guards against nodes that still use old settings long after a change.
 func TestChangeSpreadsFromOneNodeInTime(t *testing.T) {
 	for name, s := range map[string]size{"small": small, "layered": layered} {
 		t.Run(name, func(t *testing.T) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// BenchmarkChangeSpread prints the virtual time until a change that one node
-// has is in force on all, with the size of the fleet.
+// BenchmarkChangeSpread reports the longest virtual time, by fleet size, until a
+// change that one node has accepted is in force on all.
 func BenchmarkChangeSpread(b *testing.B) {
 	for name, s := range map[string]size{"nodes=8": small, "nodes=64": medium, "nodes=330": target} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// relaysPerCell, gatewaysPerRegion and watchersPerZone are how many nodes
-	// share a role, so that the loss of one does not stop it.
+	// relaysPerCell, gatewaysPerRegion and watchersPerZone are the numbers of
+	// nodes that share a role, so that the role outlives the loss of one.
 	relaysPerCell     = 2
 	gatewaysPerRegion = 2
 	watchersPerZone   = 2
-	// meshSlack keeps a region that is one cell from turning into several and
-	// back while nodes come and go.
-	meshSlack = 4
+	// meshHysteresis is added to Config.Mesh for a region that is one cell, so
+	// that it is not split and merged again while nodes join and leave.
+	meshHysteresis = 4
 
 	prefixCell   = "cell/"
 	prefixRegion = "region/"
 )
 
-// topology is who exchanges what with whom, as the node sees it.
+// topology is the node's view of the roles and of which nodes exchange heartbeats.
 type topology struct {
 	region string
 	cell   string
 	// meshed holds the regions that are one cell.
 	meshed map[string]bool
-	// relays holds the relays of the cells in the node's region, gateways those
-	// of all regions, best first.
+	// relays holds the relays of each cell in the node's region, gateways those
+	// of each region, by descending score.
 	relays   map[string][]string
 	gateways map[string][]string
 	watchers []string
-	links    map[string]bool
-	// scopes holds the scope of the digests that tell of a zone.
+	// links holds the members that the node sends heartbeats to.
+	links map[string]bool
+	// scopes is the scope of the digests that cover a zone, by zone.
 	scopes map[string]string
 }
 
-// topology returns the current topology.
+// topology returns the current topology, which is cached until members change.
 func (p *plugin) topology() *topology {
 	if p.topo != nil {
 		return p.topo
 	}
 	t := &topology{
 		region:   prefixRegion + p.self.Region,
-		meshed:   p.meshes(),
+		meshed:   p.meshedRegions(),
 		relays:   map[string][]string{},
 		gateways: map[string][]string{},
 		links:    map[string]bool{},
@@ -52,12 +53,12 @@
 	t.cell = t.cellOf(p.self)
 	cells, regions, zone := p.group(t)
 	for cell, nodes := range cells {
-		t.relays[cell] = first("relay/"+cell, nodes, relaysPerCell)
+		t.relays[cell] = topByScore("relay/"+cell, nodes, relaysPerCell)
 	}
 	for region, nodes := range regions {
-		t.gateways[region] = first("gateway/"+region, nodes, gatewaysPerRegion)
+		t.gateways[region] = topByScore("gateway/"+region, nodes, gatewaysPerRegion)
 	}
-	t.watchers = first("watcher/"+p.self.Zone, zone, watchersPerZone)
+	t.watchers = topByScore("watcher/"+p.self.Zone, zone, watchersPerZone)
 	p.link(t)
 	t.scopes = map[string]string{p.self.Zone: t.cell}
 	for zone, region := range p.regions {
@@ -69,8 +70,8 @@
 	return t
 }
 
-// group returns the names of the usable nodes of each cell in the node's region,
-// of each region and of the node's zone.
+// group returns the names of the nodes that can have a role: by cell in the node's
+// region, by region, and in the node's zone.
 func (p *plugin) group(t *topology) (cells, regions map[string][]string, zone []string) {
 	cells, regions = map[string][]string{}, map[string][]string{}
 	add := func(n kernel.Node) {
@@ -84,7 +85,7 @@
 			zone = append(zone, n.Name)
 		}
 	}
-	if !p.leaving && !p.doubt.active {
+	if !p.leaving && !p.resync.active {
 		add(p.self)
 	}
 	for _, m := range p.members {
@@ -95,21 +96,21 @@
 	return cells, regions, zone
 }
 
-// link notes the nodes that the node beats to.
+// link sets the members that the node sends heartbeats to.
 func (p *plugin) link(t *topology) {
 	for name, m := range p.members {
 		if t.cellOf(m.node) == t.cell {
 			t.links[name] = true
 		}
 	}
-	t.pair(t.relays, t.cell, p.self.Name)
-	t.pair(t.gateways, t.region, p.self.Name)
+	t.linkByRank(t.relays, t.cell, p.self.Name)
+	t.linkByRank(t.gateways, t.region, p.self.Name)
 }
 
-// pair links a node that has a role in its own group with the one of the same
-// rank in every other group. Both ranks carry the same digests, so that the loss
+// linkByRank links a node that has a role in its own group with the node of the
+// same rank in every other group. All ranks send the same digests, so that the loss
 // of one node stops none of them.
-func (t *topology) pair(groups map[string][]string, own, self string) {
+func (t *topology) linkByRank(groups map[string][]string, own, self string) {
 	rank := slices.Index(groups[own], self)
 	if rank < 0 {
 		return
@@ -121,8 +122,8 @@
 	}
 }
 
-// meshes returns the regions that are small enough to be one cell.
-func (p *plugin) meshes() map[string]bool {
+// meshedRegions returns the regions that are small enough to be one cell.
+func (p *plugin) meshedRegions() map[string]bool {
 	count := map[string]int{p.self.Region: 1}
 	for _, m := range p.members {
 		count[m.node.Region]++
@@ -131,7 +132,7 @@
 	for region, n := range count {
 		limit := p.config.Mesh
 		if p.digests.meshed[region] {
-			limit += meshSlack
+			limit += meshHysteresis
 		}
 		meshed[region] = n <= limit
 	}
@@ -146,17 +147,17 @@
 	return prefixCell + n.Zone
 }
 
-// near reports whether a member is of the node's own cell.
-func (p *plugin) near(m *member) bool {
+// inCell reports whether a member is in the node's cell.
+func (p *plugin) inCell(m *member) bool {
 	t := p.topology()
 	return t.cellOf(m.node) == t.cell
 }
 
-// linked reports whether the node beats to a member.
+// linked reports whether the node sends heartbeats to a member.
 func (p *plugin) linked(m *member) bool { return p.topology().links[m.node.Name] }
 
-// scope returns the scope of the digests that tell of a member.
-func (p *plugin) scope(m *member) string {
+// scopeOf returns the scope of the digests that cover a member.
+func (p *plugin) scopeOf(m *member) string {
 	if scope, known := p.topology().scopes[m.node.Zone]; known {
 		return scope
 	}
@@ -166,14 +167,15 @@
 	return prefixRegion + m.node.Region
 }
 
-// watcher reports whether the node should hold watches on the platform.
+// watcher reports whether the node should hold watches on the platform: it is one
+// of the zone's watchers, or there are too few.
 func (p *plugin) watcher() bool {
 	t := p.topology()
 	return len(t.watchers) < watchersPerZone || slices.Contains(t.watchers, p.self.Name)
 }
 
-// first returns the first names in a key's rendezvous order.
-func first(key string, names []string, count int) []string {
+// topByScore returns the first names, at most count, in a key's rendezvous order.
+func topByScore(key string, names []string, count int) []string {
 	best := make([]string, 0, count+1)
 	scores := make([]uint64, 0, count+1)
 	for _, name := range names {
