--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -8,59 +8,61 @@
 )
 
 const (
-	// sumsStale is the age from which the sums of another cell do not count in
-	// the region's mean, meanStale that from which they say nothing of an
-	// endpoint.
+	// sumsStale is the age from which the sums of another cell are left out of
+	// the region's total, meanStale that from which their mean is not used as
+	// the load of an endpoint.
 	sumsStale = 10 * time.Second
 	meanStale = 25 * time.Second
-	// fullInterval is how often a peer is told loads that have not changed.
+	// fullInterval is how often unchanged loads are sent to a peer again.
 	fullInterval = 10 * time.Second
-	// handover is how long an endpoint's own report counts beside its new
-	// home's gate.
+	// handover is how long a new owner also considers the endpoint's own load
+	// report.
 	handover = 10 * time.Second
 )
 
 type (
-	// scopeSums is the load of the services in a cell or region.
+	// scopeSums is the load of each service in a cell or region.
 	scopeSums struct {
 		at   time.Time
 		sums map[string]kernel.Sum
 	}
 
-	// peerLoads is what a peer was told.
+	// peerLoads is the loads that were last sent to a peer. fullAt is when all of
+	// them were sent.
 	peerLoads struct {
-		full  time.Time
-		loads map[string]kernel.EndpointLoad
+		fullAt time.Time
+		loads  map[string]kernel.EndpointLoad
 	}
 )
 
-// Beat tells a peer of the cell the loads of the endpoints whose home the node
-// is, as far as they changed since the last heartbeat to that peer.
+// Beat adds the loads of the endpoints that the node owns to a heartbeat to a peer
+// in its cell. It leaves out those that have not changed since the last heartbeat
+// to that peer.
 func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
 	if !b.Near {
 		return
 	}
-	t := p.told[to]
-	if t == nil || b.Intro != nil || now.Sub(t.full) >= fullInterval {
-		t = &peerLoads{full: now, loads: map[string]kernel.EndpointLoad{}}
-		p.told[to] = t
+	last := p.sentLoads[to]
+	if last == nil || b.Intro != nil || now.Sub(last.fullAt) >= fullInterval {
+		last = &peerLoads{fullAt: now, loads: map[string]kernel.EndpointLoad{}}
+		p.sentLoads[to] = last
 	}
-	for _, l := range p.ownLoads(now) {
-		if old, known := t.loads[l.Endpoint]; known && old == l {
+	for _, l := range p.ownedLoads(now) {
+		if old, known := last.loads[l.Endpoint]; known && old == l {
 			continue
 		}
-		t.loads[l.Endpoint] = l
+		last.loads[l.Endpoint] = l
 		b.Loads = append(b.Loads, l)
 	}
 }
 
-// Summarize adds the sums of the cell's services, and the cell's endpoints that
-// are not live.
+// Summarize adds the load of each service in the cell, and the cell's endpoints
+// that are not live.
 func (p *plugin) Summarize(now time.Time, d *kernel.Digest) {
 	sums := map[string]kernel.Sum{}
-	p.takeOwn(now)
+	p.applyOwnCounts(now)
 	for _, m := range p.sorted {
-		if !p.near(m.endpoint.Zone) {
+		if !p.inCell(m.endpoint.Zone) {
 			continue
 		}
 		if state := m.state(now); state != kernel.Live {
@@ -70,7 +72,7 @@
 		s := sums[m.endpoint.Service]
 		s.Service = m.endpoint.Service
 		s.Live++
-		s.Load = s.Load.Add(m.told)
+		s.Load = s.Load.Add(m.load)
 		sums[s.Service] = s
 	}
 	for _, s := range sums {
@@ -84,7 +86,7 @@
 	})
 }
 
-// receive applies the loads that a home tells.
+// receive applies the loads that an owner reports.
 func (p *plugin) receive(now time.Time, b *kernel.Beat) {
 	if len(b.Loads) == 0 {
 		return
@@ -95,27 +97,27 @@
 		if m == nil || m.endpoint.Home == p.self.Name {
 			continue
 		}
-		m.told, m.toldAt, m.base, m.own = l.Load, now, sent[l.Endpoint], false
-		p.opinion(now, m, l.State)
+		m.load, m.loadAt, m.sentBase, m.ownCount = l.Load, now, sent[l.Endpoint], false
+		p.applyReportedState(now, m, l.State)
 	}
 }
 
-// opinion takes over a home's opinion of an endpoint.
-func (p *plugin) opinion(now time.Time, m *member, state kernel.State) {
+// applyReportedState applies an endpoint's state from its owner or a digest.
+func (p *plugin) applyReportedState(now time.Time, m *member, state kernel.State) {
 	if state == kernel.Leaving {
 		if !m.leaving {
-			m.leaving, m.left = true, now
+			m.leaving, m.leftAt = true, now
 		}
 		return
 	}
-	if m.leaving && now.Sub(m.left) >= markHold && !p.said(m) {
+	if m.leaving && now.Sub(m.leftAt) >= markHold && !p.notifiedLeaving(m) {
 		m.leaving = false
 	}
-	m.absent = state
+	m.reportedState = state
 }
 
-// digest applies the summary of another cell or region.
-func (p *plugin) digest(now time.Time, d kernel.Digest) {
+// receiveDigest applies the summary of another cell or region.
+func (p *plugin) receiveDigest(now time.Time, d kernel.Digest) {
 	s := scopeSums{at: now, sums: make(map[string]kernel.Sum, len(d.Sums))}
 	for _, sum := range d.Sums {
 		s.sums[sum.Service] = sum
@@ -127,41 +129,41 @@
 	}
 	for name, m := range p.members {
 		if p.scopes[m.endpoint.Zone] == d.Scope {
-			p.opinion(now, m, absent[name])
+			p.applyReportedState(now, m, absent[name])
 		}
 	}
 }
 
-// ownLoads returns the loads of the endpoints whose home the node is.
-func (p *plugin) ownLoads(now time.Time) []kernel.EndpointLoad {
-	p.takeOwn(now)
-	loads := make([]kernel.EndpointLoad, 0, len(p.mine))
-	for _, m := range p.mine {
-		loads = append(loads, kernel.EndpointLoad{Endpoint: m.endpoint.Name, Load: m.told, State: m.state(now)})
+// ownedLoads returns the loads of the endpoints that the node owns.
+func (p *plugin) ownedLoads(now time.Time) []kernel.EndpointLoad {
+	p.applyOwnCounts(now)
+	loads := make([]kernel.EndpointLoad, 0, len(p.owned))
+	for _, m := range p.owned {
+		loads = append(loads, kernel.EndpointLoad{Endpoint: m.endpoint.Name, Load: m.load, State: m.state(now)})
 	}
 	return loads
 }
 
-// takeOwn takes over what the node's own gate counts. A new home has not
-// counted what the one before it admitted, so at first the endpoint's own report
-// counts too.
-func (p *plugin) takeOwn(now time.Time) {
+// applyOwnCounts applies the loads that the node's own gate counts. A new owner has
+// not counted what the previous one admitted, so at first it uses the endpoint's own
+// report if that is higher.
+func (p *plugin) applyOwnCounts(now time.Time) {
 	for _, own := range p.config.Own() {
 		m := p.members[own.Endpoint]
 		if m == nil || m.endpoint.Home != p.self.Name {
 			continue
 		}
-		m.told, m.toldAt, m.own = own.Load, now, true
-		if now.Sub(m.homeChanged) < handover {
-			m.told.Requests = max(m.told.Requests, m.reported.Requests)
-			m.told.Tokens = max(m.told.Tokens, m.reported.Tokens)
+		m.load, m.loadAt, m.ownCount = own.Load, now, true
+		if now.Sub(m.ownerChanged) < handover {
+			m.load.Requests = max(m.load.Requests, m.reported.Requests)
+			m.load.Tokens = max(m.load.Tokens, m.reported.Tokens)
 		}
 	}
 }
 
-// mean returns the mean load of the endpoints of a service in the cell or
-// region of an endpoint.
-func (p *plugin) mean(now time.Time, e kernel.Endpoint) kernel.Load {
+// meanLoad returns the mean load of the endpoints of the same service in an
+// endpoint's cell or region; zero if it is not known.
+func (p *plugin) meanLoad(now time.Time, e kernel.Endpoint) kernel.Load {
 	s := p.sums[p.scopes[e.Zone]]
 	sum := s.sums[e.Service]
 	if sum.Live == 0 || now.Sub(s.at) >= meanStale {
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// failuresDead is the failures in a row, over at least deadAfter, from
-	// which an endpoint is dead.
+	// failuresDead is the number of consecutive failures, over at least
+	// deadAfter, from which an endpoint is dead.
 	failuresDead = 3
 	deadAfter    = 2 * time.Second
-	// markHold is how long a leave mark outweighs the home's word that the
-	// endpoint takes work; later the home speaks of a new incarnation.
+	// markHold is how long a leave notice overrides a report of the owner that
+	// the endpoint takes work. After that, the report is about a new incarnation.
+	// It is also how long a node that is not the owner considers an endpoint dead
+	// after the last failure.
 	markHold = 10 * time.Second
-	// massDrop is the endpoints a list must drop at once to be doubted, and
-	// dropHold how long it is.
-	massDrop = 3
-	dropHold = time.Minute
+	// massRemoval is the number of endpoints that a list must lack at once to be
+	// distrusted, and removalHold how long it is.
+	massRemoval = 3
+	removalHold = time.Minute
 )
 
 // member is an endpoint.
@@ -26,49 +28,51 @@
 	listed      bool
 	listLeaving bool
 	leaving     bool
-	left        time.Time
-	dropped     time.Time
+	leftAt      time.Time
+	// droppedAt is when a list with a mass removal first lacked the endpoint.
+	droppedAt   time.Time
 	incarnation uint64
-	// raw is the state without regard to leave marks and flaps.
-	raw          kernel.State
+	// observed is the state by this node's own requests, without leave notices and
+	// flap damping.
+	observed     kernel.State
 	failures     int
 	firstFailure time.Time
-	failed       time.Time
+	lastFailure  time.Time
 	damper       kernel.Damper
-	// homeChanged is when the home last changed, homeSerial the nodes it was
-	// worked out for.
-	homeChanged time.Time
-	homeSerial  uint64
-	// told is the load that the home told last, toldAt when, and base what the
-	// node itself had dispatched then.
-	told   kernel.Load
-	toldAt time.Time
-	base   kernel.Load
-	// reported is the endpoint's own report.
+	// ownerChanged is when the owner last changed, ownerGeneration the generation
+	// of owners in which it was assigned.
+	ownerChanged    time.Time
+	ownerGeneration uint64
+	// load is the last known load, loadAt when it was reported or counted, and
+	// sentBase what the node itself had dispatched when the owner reported it.
+	load     kernel.Load
+	loadAt   time.Time
+	sentBase kernel.Load
+	// reported is the load in the endpoint's own report.
 	reported kernel.Load
-	// own is set where told is what the node's own gate counts.
-	own bool
-	// absent is the state that the newest digest of the endpoint's cell tells.
-	absent kernel.State
+	// ownCount is set if load is the count of the node's own gate.
+	ownCount bool
+	// reportedState is the state last reported by the owner or a digest.
+	reportedState kernel.State
 }
 
-// current returns the load as far as it is known now.
+// currentLoad returns an estimate of the current load.
 //
-// A load that a home told is old by up to a heartbeat. A node that sends many
-// requests in between would see the endpoint idle and send it more; the node's
-// own dispatches since then are therefore added.
-func (m *member) current(sent kernel.Load, home bool) kernel.Load {
-	if home && m.own {
-		return m.told
+// A load reported by the owner is up to one heartbeat old. A node that sends many
+// requests in the meantime would consider the endpoint idle and send it more, so
+// the change of its own dispatches since the report is added.
+func (m *member) currentLoad(sent kernel.Load, owned bool) kernel.Load {
+	if owned && m.ownCount {
+		return m.load
 	}
 	return kernel.Load{
-		Requests: max(m.told.Requests+sent.Requests-m.base.Requests, 0),
-		Tokens:   max(m.told.Tokens+sent.Tokens-m.base.Tokens, 0),
+		Requests: max(m.load.Requests+sent.Requests-m.sentBase.Requests, 0),
+		Tokens:   max(m.load.Tokens+sent.Tokens-m.sentBase.Tokens, 0),
 	}
 }
 
 func (m *member) state(now time.Time) kernel.State {
-	state := max(m.raw, m.absent)
+	state := max(m.observed, m.reportedState)
 	switch {
 	case state == kernel.Dead:
 		return kernel.Dead
@@ -81,20 +85,20 @@
 	}
 }
 
-// leave notes that an endpoint's incarnation is leaving, and spreads it.
+// leave marks an endpoint's incarnation as leaving, and propagates that.
 func (p *plugin) leave(now time.Time, m *member, incarnation uint64, out *kernel.Output) {
 	if m.leaving {
 		return
 	}
 	m.leaving = true
-	m.left = now
+	m.leftAt = now
 	out.Raise(kernel.Marked{Mark: kernel.Mark{
 		Name: m.endpoint.Name, Kind: kernel.KindEndpoint, Incarnation: incarnation,
 	}})
 	out.Changed()
 }
 
-// mark applies a leave mark that another node found out.
+// mark applies a leave notice from another node.
 func (p *plugin) mark(now time.Time, mark kernel.Mark, out *kernel.Output) {
 	m := p.members[mark.Name]
 	if mark.Kind != kernel.KindEndpoint || m == nil || m.leaving {
@@ -104,49 +108,49 @@
 		return
 	}
 	m.leaving = true
-	m.left = now
+	m.leftAt = now
 	out.Changed()
 }
 
-// report applies an endpoint's own report, which the home reads.
+// report applies an endpoint's own load report, which the owner reads.
 func (p *plugin) report(now time.Time, ev kernel.LoadReported, out *kernel.Output) {
 	m := p.members[ev.Endpoint]
 	if m == nil {
 		return
 	}
 	if ev.Incarnation != m.incarnation && ev.Incarnation != 0 {
-		if w := p.words[ev.Endpoint]; m.incarnation != 0 || w != nil && w.startedAgain(ev.Incarnation) {
-			delete(p.words, ev.Endpoint)
+		if n := p.notices[ev.Endpoint]; m.incarnation != 0 || n != nil && n.restarted(ev.Incarnation) {
+			delete(p.notices, ev.Endpoint)
 			m.leaving = false
 		}
 		m.incarnation = ev.Incarnation
 	}
-	m.answered(now)
+	m.recordSuccess(now)
 	m.endpoint.Models = ev.Models
 	m.reported = ev.Load
-	if !m.own {
-		m.told, m.toldAt, m.base = ev.Load, now, kernel.Load{}
+	if !m.ownCount {
+		m.load, m.loadAt, m.sentBase = ev.Load, now, kernel.Load{}
 	}
 	if ev.Leaving {
 		p.leave(now, m, m.incarnation, out)
 	}
 }
 
-// answered notes that an endpoint answered. Coming back from more than one
-// failure is a flap.
-func (m *member) answered(now time.Time) {
-	if m.raw == kernel.Dead || m.failures > 1 {
+// recordSuccess records that an endpoint answered. It counts as a flap after more than
+// one failure.
+func (m *member) recordSuccess(now time.Time) {
+	if m.observed == kernel.Dead || m.failures > 1 {
 		m.damper.Flap(now)
 	}
-	m.raw = kernel.Live
+	m.observed = kernel.Live
 	m.failures = 0
 }
 
-// fail notes an attempt or a load request that an endpoint did not answer.
+// fail records that an endpoint did not answer an attempt or a load request.
 //
-// One failure may be the request's fault, so it makes the endpoint suspect for
-// a short time only. An endpoint that answers neither requests nor its home's
-// load requests for seconds is dead, whatever a stale list says.
+// One failure may be caused by the request, so it makes the endpoint suspect only
+// for a short time. An endpoint that answers neither requests nor its owner's load
+// requests for seconds is dead, even if a stale list contains it.
 func (p *plugin) fail(now time.Time, name string, out *kernel.Output) {
 	m := p.members[name]
 	if m == nil {
@@ -156,36 +160,38 @@
 		m.firstFailure = now
 	}
 	m.failures++
-	m.failed = now
-	m.raw = max(m.raw, kernel.Suspect)
+	m.lastFailure = now
+	m.observed = max(m.observed, kernel.Suspect)
 	if m.failures >= failuresDead && now.Sub(m.firstFailure) >= deadAfter {
-		m.raw = kernel.Dead
+		m.observed = kernel.Dead
 	}
 	out.Changed()
 }
 
-// age ends the suspicion of endpoints that nobody reports on.
+// age makes suspect endpoints live again after Config.Quiet, and dead ones of other
+// owners after markHold.
 func (p *plugin) age(now time.Time) {
 	for _, m := range p.members {
-		if m.raw == kernel.Suspect && now.Sub(m.failed) >= p.config.Quiet {
-			m.raw = kernel.Live
+		if m.observed == kernel.Suspect && now.Sub(m.lastFailure) >= p.config.Quiet {
+			m.observed = kernel.Live
 			m.failures = 0
 		}
-		if m.raw == kernel.Dead && m.endpoint.Home != p.self.Name && now.Sub(m.failed) >= markHold {
-			m.raw = kernel.Live
+		if m.observed == kernel.Dead && m.endpoint.Home != p.self.Name && now.Sub(m.lastFailure) >= markHold {
+			m.observed = kernel.Live
 			m.failures = 0
 		}
 	}
 }
 
-// wake forgets failures: a process that was paused timed out its own requests.
-func (p *plugin) wake(now time.Time) {
+// resume resets failures after a pause of the process, because the pause itself made
+// its requests time out.
+func (p *plugin) resume(now time.Time) {
 	for _, m := range p.members {
 		m.failures = 0
-		if m.raw == kernel.Suspect {
-			m.raw = kernel.Live
+		if m.observed == kernel.Suspect {
+			m.observed = kernel.Live
 		}
-		m.homeChanged = now
+		m.ownerChanged = now
 	}
-	p.homes.forget()
+	p.owners.invalidate()
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,5 @@
-// Package pool is the kernel's plug-in that knows the endpoints of every
-// service: which take work, what load they carry and which node is the home of
-// each.
+// Package pool is the kernel's plug-in that tracks the endpoints of every service:
+// which take work, their loads and their owners.
 package pool
 
 import (
@@ -20,16 +19,15 @@
 type (
 	// Config is the settings of the plug-in.
 	Config struct {
-		// Quiet is how long an endpoint that failed gets work only where no
-		// other can take it.
+		// Quiet is how long an endpoint stays suspect after a failure.
 		Quiet time.Duration
-		// Settle is how long nodes may disagree on a home that has changed.
+		// Settle is how long nodes may disagree on the owner after it changed.
 		Settle time.Duration
-		// Own returns the loads that the node admitted as a home. It is called
-		// for each heartbeat and each view.
+		// Own returns the loads that the node has admitted as an owner. It is
+		// called for each heartbeat and each view.
 		Own func() []kernel.EndpointLoad
 		// Sent returns the loads that the node has dispatched itself and that
-		// are not done.
+		// are still in progress.
 		Sent func() []kernel.EndpointLoad
 	}
 
@@ -39,19 +37,19 @@
 		config  Config
 		self    kernel.Node
 		members map[string]*member
-		// sorted holds the members by name, mine those whose home the node is.
-		sorted []*member
-		mine   []*member
-		sums   map[string]scopeSums
-		homes  homes
-		told   map[string]*peerLoads
-		// counts is how many endpoints each pool of the newest view has.
+		// sorted holds the members by name, owned those that the node owns.
+		sorted    []*member
+		owned     []*member
+		sums      map[string]scopeSums
+		owners    owners
+		sentLoads map[string]*peerLoads
+		// counts is the number of endpoints in each pool of the newest view.
 		counts map[string]int
 		// cell and scopes are those of the newest view.
 		cell   string
 		scopes map[string]string
-		// words are what endpoints have told this node of themselves.
-		words map[string]*word
+		// notices holds the notices of endpoints to this node, by name.
+		notices map[string]*notice
 	}
 )
 
@@ -77,18 +75,18 @@
 // Extend registers the plug-in.
 func (e extension) Extend(k *kernel.Kernel) {
 	p := &plugin{
-		config:  e.config,
-		self:    k.Self(),
-		members: map[string]*member{},
-		sums:    map[string]scopeSums{},
-		told:    map[string]*peerLoads{},
-		counts:  map[string]int{},
-		words:   map[string]*word{},
+		config:    e.config,
+		self:      k.Self(),
+		members:   map[string]*member{},
+		sums:      map[string]scopeSums{},
+		sentLoads: map[string]*peerLoads{},
+		counts:    map[string]int{},
+		notices:   map[string]*notice{},
 	}
 	k.Register(p, kernel.PriorityPool)
 }
 
-// Handle applies the platform's list, load reports, failures and heartbeats.
+// Handle applies the instance list, load reports, notices, failures and heartbeats.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.Listed:
@@ -97,9 +95,9 @@
 	case kernel.LoadReported:
 		p.report(now, ev, out)
 	case kernel.EndpointSpoke:
-		p.spoke(now, ev, out)
+		p.receiveNotice(now, ev, out)
 	case kernel.EndpointRests:
-		p.rests(now, ev, out)
+		p.receiveBackoff(now, ev, out)
 	case kernel.EndpointFailed:
 		p.fail(now, ev.Endpoint, out)
 	case kernel.Marked:
@@ -107,19 +105,19 @@
 	case kernel.BeatReceived:
 		p.receive(now, ev.Beat)
 	case kernel.BeatFailed:
-		delete(p.told, ev.Node)
+		delete(p.sentLoads, ev.Node)
 	case kernel.Digested:
-		p.digest(now, ev.Digest)
+		p.receiveDigest(now, ev.Digest)
 	case kernel.Woken:
-		p.wake(now)
+		p.resume(now)
 	case kernel.Tick:
 		p.age(now)
-		p.forgetWords(now)
+		p.expireNotices(now)
 		out.Changed()
 	}
 }
 
-// Publish writes the pools of all services in force.
+// Publish writes the pools of all configured services.
 func (p *plugin) Publish(now time.Time, v *kernel.View) {
 	p.cell, p.scopes = v.Cell, v.Scopes
 	if v.Manifest == nil {
@@ -132,12 +130,12 @@
 		}
 		v.Pools[s.Name] = pool
 	}
-	p.homes.update(v)
-	p.takeOwn(now)
+	p.owners.update(v)
+	p.applyOwnCounts(now)
 	sent := loadsByName(p.config.Sent())
-	p.mine = p.mine[:0]
+	p.owned = p.owned[:0]
 	for _, m := range p.sorted {
-		p.place(now, m, sent[m.endpoint.Name], v)
+		p.addToPool(now, m, sent[m.endpoint.Name], v)
 	}
 	for name, pool := range v.Pools {
 		p.counts[name] = len(pool.Endpoints)
@@ -145,7 +143,7 @@
 	p.addSums(now, v)
 }
 
-// Dump shows every endpoint known.
+// Dump exposes every known endpoint.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	endpoints := make(map[string]kernel.Endpoint, len(p.members))
 	for name, m := range p.members {
@@ -160,10 +158,10 @@
 	}
 	for _, i := range list {
 		if i.Kind == kernel.KindEndpoint {
-			p.listOne(now, i, out)
+			p.applyEntry(now, i, out)
 		}
 	}
-	p.unlist(now)
+	p.removeUnlisted(now)
 	p.sorted = p.sorted[:0]
 	for _, m := range p.members {
 		p.sorted = append(p.sorted, m)
@@ -171,10 +169,10 @@
 	slices.SortFunc(p.sorted, func(a, b *member) int {
 		return strings.Compare(a.endpoint.Name, b.endpoint.Name)
 	})
-	p.homes.forget()
+	p.owners.invalidate()
 }
 
-func (p *plugin) listOne(now time.Time, i kernel.Instance, out *kernel.Output) {
+func (p *plugin) applyEntry(now time.Time, i kernel.Instance, out *kernel.Output) {
 	m := p.members[i.Name]
 	if m == nil || m.endpoint.Addr != i.Addr {
 		m = &member{}
@@ -185,47 +183,48 @@
 	m.endpoint.Zone = i.Zone
 	m.endpoint.Service = i.Service
 	m.endpoint.Addr = i.Addr
-	// The list may go on about an incarnation that has ended, so only its turn
-	// to leaving counts.
-	turned := i.Leaving && !m.listLeaving
+	// The entry may still be that of an incarnation that has ended, so only its
+	// change to leaving counts.
+	becameLeaving := i.Leaving && !m.listLeaving
 	m.listLeaving = i.Leaving
-	if turned {
+	if becameLeaving {
 		p.leave(now, m, m.incarnation, out)
 	}
 }
 
-// unlist drops the endpoints that the list does not name any more.
+// removeUnlisted removes the endpoints that are no longer listed.
 //
-// A platform that answers with half a list would take away most endpoints at
-// once, while all of them answer. Where a list drops more than half, those that
-// answered their home of late are kept for a while.
-func (p *plugin) unlist(now time.Time) {
-	var gone []string
+// A platform that answers with a partial list would remove most endpoints at once
+// although they are live. If a list lacks at least massRemoval endpoints and more
+// than half of them all, the live ones are kept for removalHold.
+func (p *plugin) removeUnlisted(now time.Time) {
+	var unlisted []string
 	for name, m := range p.members {
 		if !m.listed {
-			gone = append(gone, name)
+			unlisted = append(unlisted, name)
 		}
 	}
-	mass := len(gone) >= massDrop && 2*len(gone) > len(p.members)
-	for _, name := range gone {
+	mass := len(unlisted) >= massRemoval && 2*len(unlisted) > len(p.members)
+	for _, name := range unlisted {
 		m := p.members[name]
-		if mass && m.dropped.IsZero() {
-			m.dropped = now
+		if mass && m.droppedAt.IsZero() {
+			m.droppedAt = now
 		}
-		if mass && now.Sub(m.dropped) < dropHold && m.raw == kernel.Live {
+		if mass && now.Sub(m.droppedAt) < removalHold && m.observed == kernel.Live {
 			continue
 		}
 		delete(p.members, name)
 	}
 }
 
-// place adds an endpoint to its pool.
-func (p *plugin) place(now time.Time, m *member, sent kernel.Load, v *kernel.View) {
-	p.homes.assign(now, m, p.config.Settle)
-	p.heed(now, m, v)
+// addToPool sets an endpoint's owner and state, and adds it to its pool unless it is
+// dead.
+func (p *plugin) addToPool(now time.Time, m *member, sent kernel.Load, v *kernel.View) {
+	p.owners.assign(now, m, p.config.Settle)
+	p.applyNotice(now, m, v)
 	m.endpoint.State = m.state(now)
 	if m.endpoint.Home == p.self.Name {
-		p.mine = append(p.mine, m)
+		p.owned = append(p.owned, m)
 		v.Probes = append(v.Probes, m.endpoint)
 	}
 	pool := v.Pools[m.endpoint.Service]
@@ -233,11 +232,11 @@
 		return
 	}
 	e := m.endpoint
-	e.Load = m.current(sent, e.Home == p.self.Name)
-	e.Reported = m.toldAt
-	near := p.near(e.Zone)
+	e.Load = m.currentLoad(sent, e.Home == p.self.Name)
+	e.Reported = m.loadAt
+	near := p.inCell(e.Zone)
 	if !near {
-		e.Load, e.Reported = p.mean(now, e), time.Time{}
+		e.Load, e.Reported = p.meanLoad(now, e), time.Time{}
 	}
 	pool.Endpoints = append(pool.Endpoints, e)
 	if near && e.State == kernel.Live {
@@ -246,9 +245,9 @@
 	}
 }
 
-// near reports whether the homes of a zone's endpoints tell the node each
-// endpoint's load.
-func (p *plugin) near(zone string) bool {
+// inCell reports whether a zone is in the node's cell, so that the owners report the
+// load of each endpoint to the node.
+func (p *plugin) inCell(zone string) bool {
 	scope, known := p.scopes[zone]
 	return !known || scope == p.cell
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -14,7 +14,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// node is a kernel alone in its fleet, so that it is the home of all endpoints.
+// node is the kernel of the only node in its fleet, so that it owns all endpoints.
 type node struct {
 	*kernel.Kernel
 	now  time.Time
@@ -48,7 +48,7 @@
 	}
 }
 
-// state returns an endpoint's state, kernel.Dead where the view has it not.
+// state returns an endpoint's state, kernel.Dead if it is not in the view.
 func (n *node) state(name string) kernel.State {
 	e, ok := n.View().Pools["s"].Endpoint(name)
 	if !ok {
@@ -57,7 +57,7 @@
 	return e.State
 }
 
-// flap lets an endpoint fail for some seconds and answer again.
+// flap makes an endpoint fail for some seconds and answer again.
 func (n *node) flap(name string) {
 	for range 4 {
 		n.Step(n.now, kernel.EndpointFailed{Endpoint: name})
@@ -68,24 +68,24 @@
 }
 
 func TestDeadEndpointOnAStaleListGetsNoWork(t *testing.T) {
-	// Guards against this failure: attempts go on to an endpoint that died long ago.
+	// Guards against attempts at an endpoint that died long ago but is still listed.
 	n := newNode(3)
 	for range 4 {
 		n.Step(n.now, kernel.EndpointFailed{Endpoint: "e1"})
 		n.run(time.Second)
 	}
 	require.Equal(t, kernel.Dead, n.state("e1"))
-	require.Len(t, n.View().Probes, 3, "its home goes on asking it")
+	require.Len(t, n.View().Probes, 3, "the owner still polls it")
 	n.Step(n.now, kernel.Instances{Version: 2, List: n.list})
 	n.run(time.Second)
 	require.Equal(t, kernel.Dead, n.state("e1"))
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1"})
 	n.run(kernel.DefaultTick)
-	require.Equal(t, kernel.Live, n.state("e1"), "the first return is trusted")
+	require.Equal(t, kernel.Live, n.state("e1"), "the first flap starts no hold-down")
 }
 
-func TestFlappingEndpointIsHeldBackLongerEachTime(t *testing.T) {
-	// Guards against this failure: many lost attempts at one endpoint.
+func TestHoldDownDoublesForFlappingEndpoint(t *testing.T) {
+	// Guards against many failed attempts at a flapping endpoint.
 	n := newNode(3)
 	var quiet []time.Duration
 	for range 4 {
@@ -100,8 +100,9 @@
 }
 
 func TestLeavingEndsWithTheIncarnation(t *testing.T) {
-	// Guards against this failure: an endpoint that was replaced in place never gets work again,
-	// or a leaving one gets it back from a list that does not know.
+	// Guards against an endpoint that never gets work again after it was replaced under
+	// the same name, and against a list without the notice that gives work to a leaving
+	// one.
 	n := newNode(2)
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1", Incarnation: 1, Leaving: true})
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1", Incarnation: 1})
@@ -113,19 +114,20 @@
 	require.Equal(t, kernel.Live, n.state("e1"))
 }
 
-func TestHalfAListDoesNotEmptyTheFleet(t *testing.T) {
-	// Guards against this failure: a fleet without endpoints, while all of them answer.
+func TestPartialListKeepsLiveEndpoints(t *testing.T) {
+	// Guards against a partial list that removes endpoints although all of them answer.
 	n := newNode(8)
 	n.Step(n.now, kernel.Instances{Version: 2, List: n.list[:1]})
 	n.run(time.Second)
 	require.Len(t, n.View().Pools["s"].Endpoints, 8)
 	n.Step(n.now, kernel.Instances{Version: 3, List: n.list[:7]})
 	n.run(time.Second)
-	require.Len(t, n.View().Pools["s"].Endpoints, 7, "an ordinary change counts at once")
+	require.Len(t, n.View().Pools["s"].Endpoints, 7, "an ordinary change applies at once")
 }
 
 func TestOwnDispatchesCorrectALaggedLoad(t *testing.T) {
-	// Guards against this failure: a node sends a burst to the endpoint that seemed idle.
+	// Guards against a burst of requests to an endpoint that seems idle because its
+	// reported load is out of date.
 	n := newNode(1)
 	peer := kernel.Instance{Name: "n2", Kind: kernel.KindNode, Zone: "z1"}
 	beat := func(requests int) {
@@ -135,7 +137,7 @@
 		}})
 		n.run(kernel.DefaultTick)
 	}
-	// The node leaves, so that its peer is the home.
+	// The node leaves, so that its peer is the owner.
 	n.Step(n.now, kernel.Drain{})
 	beat(2)
 	beat(2)
@@ -145,13 +147,13 @@
 	n.run(kernel.DefaultTick)
 	require.Equal(t, 5, requests())
 	beat(5)
-	require.Equal(t, 5, requests(), "the home counts them by now")
+	require.Equal(t, 5, requests(), "the owner's load now includes them")
 	n.sent = nil
 	n.run(kernel.DefaultTick)
 	require.Equal(t, 2, requests())
 }
 
-func TestHomeWaitsForNodesToSettle(t *testing.T) {
+func TestSettledNodeIsPreferredAsOwner(t *testing.T) {
 	nodes := []kernel.Node{
 		{Name: "a", Zone: "z1", Settled: true},
 		{Name: "b", Zone: "z1"},
@@ -167,8 +169,9 @@
 	require.Equal(t, "c", pool.Home(kernel.Endpoint{Name: "e1", Zone: "z1"}, nodes))
 }
 
-func TestNewHomeOutweighsTheOldHomesWord(t *testing.T) {
-	// Guards against this failure: an endpoint that answers gets no work ever again.
+func TestNewOwnerOverridesPreviousOwnersState(t *testing.T) {
+	// Guards against an endpoint that answers but never gets work again, because its
+	// previous owner reported it as dead.
 	n := newNode(8)
 	n.list = append(n.list, kernel.Instance{
 		Name: "n2", Kind: kernel.KindNode, Zone: "z1",
@@ -197,11 +200,11 @@
 	require.Equal(t, kernel.Live, n.state(name))
 }
 
-// Guards against an endpoint that is taken for live again by whatever but another
-// start of it, after it has told this node that it leaves.
-func TestEndpointsOwnWordThatItLeaves(t *testing.T) {
-	// The home is another node, which does not know of it.
-	home := func(n *node, state kernel.State) {
+// Guards against an endpoint that has notified this node that it is leaving, and is
+// considered live again although it has not restarted.
+func TestEndpointLeavesUntilItRestarts(t *testing.T) {
+	// The owner is another node, which has not received the notice.
+	ownerReports := func(n *node, state kernel.State) {
 		n.Step(n.now, kernel.BeatReceived{Beat: &kernel.Beat{
 			Node: "n2", Incarnation: 9, Serial: 1, Intro: &kernel.Intro{Instance: kernel.Instance{Name: "n2", Kind: kernel.KindNode, Zone: "z1"}, Age: time.Minute},
 			Loads: []kernel.EndpointLoad{{Endpoint: "e1", State: state}},
@@ -212,16 +215,16 @@
 		at   func(n *node)
 		want kernel.State
 	}{
-		{name: "nothing more is heard", at: func(*node) {}, want: kernel.Leaving},
-		{name: "its home takes it for live", at: func(n *node) { home(n, kernel.Live) }, want: kernel.Leaving},
-		{name: "the list names it as before", at: func(n *node) { n.Step(n.now, kernel.Instances{Version: 2, List: n.list}) }, want: kernel.Leaving},
-		{name: "the list drops it and names it again", at: func(n *node) {
+		{name: "no further message", at: func(*node) {}, want: kernel.Leaving},
+		{name: "its owner reports it as live", at: func(n *node) { ownerReports(n, kernel.Live) }, want: kernel.Leaving},
+		{name: "the list has it unchanged", at: func(n *node) { n.Step(n.now, kernel.Instances{Version: 2, List: n.list}) }, want: kernel.Leaving},
+		{name: "the list removes and restores it", at: func(n *node) {
 			n.Step(n.now, kernel.Instances{Version: 2, List: n.list[:1]})
 			n.run(time.Second)
 			n.Step(n.now, kernel.Instances{Version: 3, List: n.list})
 		}, want: kernel.Leaving},
-		{name: "the same start says that it takes", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 5}) }, want: kernel.Leaving},
-		{name: "another start says so", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 6}) }, want: kernel.Live},
+		{name: "the same incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 5}) }, want: kernel.Leaving},
+		{name: "another incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 6}) }, want: kernel.Live},
 		{name: "another endpoint has its name", at: func(n *node) {
 			moved := append([]kernel.Instance(nil), n.list...)
 			moved[1].Addr = netip.MustParseAddrPort("10.9.9.9:80")
@@ -232,12 +235,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(3)
 			n.Step(n.now, kernel.Drain{})
-			home(n, kernel.Live)
+			ownerReports(n, kernel.Live)
 			n.run(kernel.DefaultTick)
 			n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Leaving: true, Incarnation: 5})
 			n.run(time.Second)
 			require.Equal(t, kernel.Leaving, n.state("e1"))
-			require.Len(t, n.View().Leavers, 1, "it is asked whether it has started again")
+			require.Len(t, n.View().Leavers, 1, "it is polled for a restart")
 			n.run(time.Minute)
 			c.at(n)
 			n.run(time.Second)
@@ -246,13 +249,14 @@
 	}
 }
 
-// Guards against requests of a node that an endpoint has asked for a rest, and against
-// a rest that other nodes keep, or that outlives the endpoint.
-func TestRestOfAnEndpoint(t *testing.T) {
+// Guards against requests from a node that an endpoint has asked for a backoff, and
+// against a backoff that affects other nodes, is shortened by a later one, or
+// outlives a restart of the endpoint.
+func TestBackoffOfEndpoint(t *testing.T) {
 	takes := func(n *node) bool {
 		e, ok := n.View().Pools["s"].Endpoint("e1")
 		require.True(t, ok)
-		require.Equal(t, kernel.Live, e.State, "others may send")
+		require.Equal(t, kernel.Live, e.State, "other nodes may send")
 		return e.Takes()
 	}
 	n := newNode(2)
@@ -268,5 +272,5 @@
 	require.False(t, takes(n))
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1", Incarnation: 2})
 	n.run(kernel.DefaultTick)
-	require.True(t, takes(n), "it has started again")
+	require.True(t, takes(n), "it has restarted")
 }
--- a/internal/pool/word.go
+++ b/internal/pool/word.go
@@ -9,112 +9,115 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 )
 
-// wordFor is how long an endpoint's own word is kept after the endpoint was last
-// listed.
-const wordFor = 10 * time.Minute
+// noticeRetention is how long a notice is kept after the endpoint was last listed.
+const noticeRetention = 10 * time.Minute
 
-// word is what an endpoint has told this node of itself, apart from what the list
-// and its home say.
-type word struct {
+// notice is what an endpoint has reported of itself directly to this node,
+// regardless of the instance list and the endpoint's owner.
+type notice struct {
 	addr netip.AddrPort
-	// leaving says that it leaves, and incarnation which start of it has said so; 0
-	// where it does not say.
+	// leaving is set if the endpoint is leaving, and incarnation is the one that
+	// reported so; 0 if unknown.
 	leaving     bool
 	incarnation uint64
-	// rest is until when it wants no requests from this node.
-	rest time.Time
-	// listed is when it was last listed.
-	listed time.Time
+	// backoffUntil is the end of the backoff that the endpoint requested from
+	// this node.
+	backoffUntil time.Time
+	// lastListed is when the endpoint was last listed.
+	lastListed time.Time
 }
 
-// kept returns what an endpoint has told this node, nil if it has told nothing.
-func (p *plugin) kept(m *member) *word {
-	if w := p.words[m.endpoint.Name]; w != nil && w.addr == m.endpoint.Addr {
+// findNotice returns the notice of an endpoint, nil if there is none from its
+// current address.
+func (p *plugin) findNotice(m *member) *notice {
+	if w := p.notices[m.endpoint.Name]; w != nil && w.addr == m.endpoint.Addr {
 		return w
 	}
 	return nil
 }
 
-// word returns what is kept of an endpoint, to be written to.
-func (p *plugin) word(m *member, now time.Time) *word {
-	w := p.kept(m)
-	if w == nil {
-		w = &word{addr: m.endpoint.Addr}
-		p.words[m.endpoint.Name] = w
+// notice returns the notice of an endpoint, and creates it if there is none.
+func (p *plugin) notice(m *member, now time.Time) *notice {
+	n := p.findNotice(m)
+	if n == nil {
+		n = &notice{addr: m.endpoint.Addr}
+		p.notices[m.endpoint.Name] = n
 	}
-	w.listed = now
-	return w
+	n.lastListed = now
+	return n
 }
 
-// said reports whether an endpoint has told this node that it leaves.
-func (p *plugin) said(m *member) bool {
-	w := p.kept(m)
-	return w != nil && w.leaving
+// notifiedLeaving reports whether an endpoint has notified this node that it is
+// leaving.
+func (p *plugin) notifiedLeaving(m *member) bool {
+	n := p.findNotice(m)
+	return n != nil && n.leaving
 }
 
-// outdated reports whether a word is of another start than that which the node, as
-// the endpoint's home, knows from its reports.
-func (p *plugin) outdated(m *member, incarnation uint64) bool {
+// otherIncarnation reports whether a notice is of another incarnation than the one
+// that the node, as the endpoint's owner, knows from its load reports.
+func (p *plugin) otherIncarnation(m *member, incarnation uint64) bool {
 	known := m.endpoint.Home == p.self.Name && m.incarnation != 0 && incarnation != 0
 	return known && incarnation != m.incarnation
 }
 
-// spoke applies an endpoint's own word on whether it leaves. Only another start of
-// it takes that back.
-func (p *plugin) spoke(now time.Time, ev kernel.EndpointSpoke, out *kernel.Output) {
+// receiveNotice applies an endpoint's notice of whether it is leaving. Once it is
+// leaving, only another incarnation can revoke that.
+func (p *plugin) receiveNotice(now time.Time, ev kernel.EndpointSpoke, out *kernel.Output) {
 	m := p.members[ev.Endpoint]
-	if m == nil || p.outdated(m, ev.Incarnation) {
+	if m == nil || p.otherIncarnation(m, ev.Incarnation) {
 		return
 	}
-	w := p.word(m, now)
+	n := p.notice(m, now)
 	if ev.Leaving {
-		w.leaving, w.incarnation = true, cmp.Or(ev.Incarnation, m.incarnation)
-		p.leave(now, m, w.incarnation, out)
+		n.leaving, n.incarnation = true, cmp.Or(ev.Incarnation, m.incarnation)
+		p.leave(now, m, n.incarnation, out)
 		return
 	}
-	if w.leaving && w.startedAgain(ev.Incarnation) {
-		w.leaving, m.leaving = false, false
+	if n.leaving && n.restarted(ev.Incarnation) {
+		n.leaving, m.leaving = false, false
 		out.Changed()
 	}
 }
 
-// startedAgain reports whether another start than the one that leaves has answered.
-func (w *word) startedAgain(incarnation uint64) bool {
-	return w.incarnation != 0 && incarnation != 0 && incarnation != w.incarnation
+// restarted reports whether an incarnation is another than the leaving one.
+func (n *notice) restarted(incarnation uint64) bool {
+	return n.incarnation != 0 && incarnation != 0 && incarnation != n.incarnation
 }
 
-// rests applies an endpoint's wish to get no requests from this node; a shorter one
-// does not end a longer one.
-func (p *plugin) rests(now time.Time, ev kernel.EndpointRests, out *kernel.Output) {
+// receiveBackoff applies an endpoint's request for backoff. A shorter backoff does
+// not end a longer one.
+func (p *plugin) receiveBackoff(now time.Time, ev kernel.EndpointRests, out *kernel.Output) {
 	m := p.members[ev.Endpoint]
 	if m == nil {
 		return
 	}
-	if w := p.word(m, now); ev.Until.After(w.rest) {
-		w.rest = ev.Until
+	if n := p.notice(m, now); ev.Until.After(n.backoffUntil) {
+		n.backoffUntil = ev.Until
 		out.Changed()
 	}
 }
 
-// heed writes what an endpoint has told this node, and keeps it in mind while the
-// endpoint is listed.
-func (p *plugin) heed(now time.Time, m *member, v *kernel.View) {
+// applyNotice applies the notice of a listed endpoint, and keeps the notice from
+// expiring.
+func (p *plugin) applyNotice(now time.Time, m *member, v *kernel.View) {
 	m.endpoint.Rest = time.Time{}
-	w := p.kept(m)
-	if w == nil {
+	n := p.findNotice(m)
+	if n == nil {
 		return
 	}
-	w.listed = now
-	if now.Before(w.rest) {
-		m.endpoint.Rest = w.rest
+	n.lastListed = now
+	if now.Before(n.backoffUntil) {
+		m.endpoint.Rest = n.backoffUntil
 	}
-	m.leaving = m.leaving || w.leaving
-	if w.leaving && m.endpoint.Home != p.self.Name {
+	m.leaving = m.leaving || n.leaving
+	if n.leaving && m.endpoint.Home != p.self.Name {
 		v.Leavers = append(v.Leavers, m.endpoint)
 	}
 }
 
-// forgetWords drops the words of endpoints that have not been listed for long.
-func (p *plugin) forgetWords(now time.Time) {
-	maps.DeleteFunc(p.words, func(_ string, w *word) bool { return now.Sub(w.listed) >= wordFor })
+// expireNotices removes the notices of endpoints that have not been listed for
+// noticeRetention.
+func (p *plugin) expireNotices(now time.Time) {
+	maps.DeleteFunc(p.notices, func(_ string, n *notice) bool { return now.Sub(n.lastListed) >= noticeRetention })
 }
