--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -24,8 +24,8 @@
 	dialTimeout     = time.Second
 )
 
-// ErrUnreachable is returned where a peer did not answer. Whether it received
-// the message is unknown.
+// ErrUnreachable is returned if a peer did not answer. Whether it received the
+// message is unknown.
 var ErrUnreachable = errors.New("peer: unreachable")
 
 type (
@@ -42,7 +42,7 @@
 		Incarnation uint64
 		// Dialer opens connections; nil is a plain net.Dialer.
 		Dialer Dialer
-		// Key proves the node to its peers and checks them.
+		// Key authenticates the node and its peers to each other.
 		Key *Key
 	}
 
@@ -79,14 +79,14 @@
 
 // Beat sends a heartbeat and returns the peer's own.
 func (c *Client) Beat(ctx context.Context, to netip.AddrPort, b *kernel.Beat) (*kernel.Beat, error) {
-	reply, err := c.peer(ctx, to).Beat(ctx, EncodeBeat(b))
+	reply, err := c.rpcClient(ctx, to).Beat(ctx, EncodeBeat(b))
 	if err != nil {
 		return nil, unreachable(to, err)
 	}
 	return DecodeBeat(reply), nil
 }
 
-// Permit sends a batch to a home.
+// Permit sends a batch to the owner of its endpoints.
 func (c *Client) Permit(ctx context.Context, to netip.AddrPort, b gate.Batch) (gate.Reply, error) {
 	answer, err := c.permit.call(ctx, to, EncodePermit(c.config.Self, b))
 	if err != nil {
@@ -99,44 +99,43 @@
 	return reply, nil
 }
 
-// Values reads values of the accepted configuration by their keys, in as many
-// calls as their size needs. Those that the peer does not have are left out.
+// Values reads values of the accepted configuration by key, in as many calls as
+// their size requires. Keys that the peer does not have are left out.
 func (c *Client) Values(ctx context.Context, to netip.AddrPort, keys []string) (map[string][]byte, error) {
 	values := make(map[string][]byte, len(keys))
 	for len(keys) > 0 {
-		reply, err := c.peer(ctx, to).Config(ctx, &peerpb.ConfigRequest{Keys: keys})
+		reply, err := c.rpcClient(ctx, to).Config(ctx, &peerpb.ConfigRequest{Keys: keys})
 		if err != nil {
 			return nil, unreachable(to, err)
 		}
-		var rest []string
+		var missing []string
 		for _, key := range keys {
 			if value, ok := reply.Values[key]; ok {
 				values[key] = value
 			} else {
-				rest = append(rest, key)
+				missing = append(missing, key)
 			}
 		}
-		// A reply without any of them ends it; a peer could otherwise be asked
-		// without end.
-		if len(rest) == len(keys) {
+		// Stop at a reply without any of the keys, which would repeat forever.
+		if len(missing) == len(keys) {
 			return values, nil
 		}
-		keys = rest
+		keys = missing
 	}
 	return values, nil
 }
 
-func (c *Client) peer(ctx context.Context, to netip.AddrPort) peerpb.DRPCPeerClient {
+func (c *Client) rpcClient(ctx context.Context, to netip.AddrPort) peerpb.DRPCPeerClient {
 	conn := c.pool.Get(ctx, to, func(ctx context.Context, to netip.AddrPort) (drpcpool.Conn, error) {
 		raw, err := c.config.Dialer.DialContext(ctx, "tcp", to.String())
 		if err != nil {
 			return nil, err
 		}
-		secure, err := c.config.Key.dialed(ctx, raw)
+		secure, err := c.config.Key.clientHandshake(ctx, raw)
 		if err != nil {
 			return nil, err
 		}
-		return drpcconn.NewWithOptions(secure, drpcconn.Options{Manager: managed()}), nil
+		return drpcconn.NewWithOptions(secure, drpcconn.Options{Manager: managerOptions()}), nil
 	})
 	return peerpb.NewDRPCPeerClient(drpc.Conn(conn))
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -8,7 +8,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
 )
 
-// EncodeBeat returns the wire form of a heartbeat.
+// EncodeBeat converts a heartbeat to its wire message.
 func EncodeBeat(b *kernel.Beat) *peerpb.Heartbeat {
 	return &peerpb.Heartbeat{
 		Node:        b.Node,
@@ -18,20 +18,20 @@
 		Active:      uint32(max(b.Active, 0)),
 		Revision:    b.Revision,
 		Print:       b.Print,
-		Loads:       mapped(b.Loads, encodeLoad),
-		Marks:       mapped(b.Marks, encodeMark),
-		Intro:       pointed(b.Intro, encodeIntro),
+		Loads:       mapSlice(b.Loads, encodeLoad),
+		Marks:       mapSlice(b.Marks, encodeMark),
+		Intro:       encodeOptional(b.Intro, encodeIntro),
 		ListVersion: b.ListVersion,
 		Listless:    b.Listless,
-		News:        pointed(b.News, encodeNews),
-		Digests:     mapped(b.Digests, encodeDigest),
-		Demands:     mapped(b.Demands, encodeDemand),
-		Models:      mapped(b.Models, encodeModelDemand),
-		Suspects:    mapped(b.Suspects, encodeSuspect),
+		News:        encodeOptional(b.News, encodeNews),
+		Digests:     mapSlice(b.Digests, encodeDigest),
+		Demands:     mapSlice(b.Demands, encodeDemand),
+		Models:      mapSlice(b.Models, encodeModelDemand),
+		Suspects:    mapSlice(b.Suspects, encodeSuspect),
 	}
 }
 
-// DecodeBeat returns the heartbeat of a wire form.
+// DecodeBeat converts a wire message to a heartbeat.
 func DecodeBeat(b *peerpb.Heartbeat) *kernel.Beat {
 	return &kernel.Beat{
 		Node:        b.Node,
@@ -41,43 +41,44 @@
 		Active:      int(b.Active),
 		Revision:    b.Revision,
 		Print:       b.Print,
-		Loads:       mapped(b.Loads, decodeLoad),
-		Marks:       mapped(b.Marks, decodeMark),
-		Intro:       valued(b.Intro, decodeIntro),
+		Loads:       mapSlice(b.Loads, decodeLoad),
+		Marks:       mapSlice(b.Marks, decodeMark),
+		Intro:       decodeOptional(b.Intro, decodeIntro),
 		ListVersion: b.ListVersion,
 		Listless:    b.Listless,
-		News:        valued(b.News, decodeNews),
-		Digests:     mapped(b.Digests, decodeDigest),
-		Demands:     mapped(b.Demands, decodeDemand),
-		Models:      mapped(b.Models, decodeModelDemand),
-		Suspects:    mapped(b.Suspects, decodeSuspect),
+		News:        decodeOptional(b.News, decodeNews),
+		Digests:     mapSlice(b.Digests, decodeDigest),
+		Demands:     mapSlice(b.Demands, decodeDemand),
+		Models:      mapSlice(b.Models, decodeModelDemand),
+		Suspects:    mapSlice(b.Suspects, decodeSuspect),
 	}
 }
 
-// EncodePermit returns the wire form of a batch.
+// EncodePermit converts a batch of a node to its wire message.
 func EncodePermit(node string, b gate.Batch) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
 		Node:     node,
-		Asks:     mapped(b.Asks, encodeAsk),
-		Declares: mapped(b.Declares, encodeAsk),
-		Returns:  mapped(b.Returns, func(r gate.Return) uint64 { return r.ID }),
-		TookMs:   mapped(b.Returns, tookMS),
+		Asks:     mapSlice(b.Asks, encodeAsk),
+		Declares: mapSlice(b.Declares, encodeAsk),
+		Returns:  mapSlice(b.Returns, func(r gate.Return) uint64 { return r.ID }),
+		TookMs:   mapSlice(b.Returns, tookMS),
 		Own:      encodeOwn(b.Own),
 	}
 }
 
-// DecodePermit returns the batch of a wire form.
+// DecodePermit converts a wire message to a batch.
 func DecodePermit(r *peerpb.PermitRequest) gate.Batch {
 	decode := func(a *peerpb.Ask) gate.Ask { return decodeAsk(r.Node, a) }
 	return gate.Batch{
-		Asks:     mapped(r.Asks, decode),
-		Declares: mapped(r.Declares, decode),
+		Asks:     mapSlice(r.Asks, decode),
+		Declares: mapSlice(r.Declares, decode),
 		Returns:  decodeReturns(r),
 		Own:      decodeOwn(r.Own),
 	}
 }
 
-// tookMS rounds up, since 0 stands for a request that did not run.
+// tookMS returns the run time in milliseconds, rounded up because 0 means that the
+// request did not run.
 func tookMS(r gate.Return) uint32 {
 	return uint32((max(r.Took, 0) + time.Millisecond - 1) / time.Millisecond)
 }
@@ -93,25 +94,25 @@
 	return returns
 }
 
-// EncodeReply returns the wire form of the answer to a batch.
+// EncodeReply converts the reply to a batch to its wire message.
 func EncodeReply(r gate.Reply) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
-		Verdicts: mapped(r.Verdicts, func(v gate.Verdict) uint32 { return uint32(v) }),
-		Loads:    mapped(r.Loads, encodeLoad),
+		Verdicts: mapSlice(r.Verdicts, func(v gate.Verdict) uint32 { return uint32(v) }),
+		Loads:    mapSlice(r.Loads, encodeLoad),
 		Own:      encodeOwn(r.Own),
 	}
 }
 
-// DecodeReply returns the answer of a wire form.
+// DecodeReply converts a wire message to the reply to a batch.
 func DecodeReply(r *peerpb.PermitReply) gate.Reply {
 	return gate.Reply{
-		Verdicts: mapped(r.Verdicts, func(v uint32) gate.Verdict { return gate.Verdict(v) }),
-		Loads:    mapped(r.Loads, decodeLoad),
+		Verdicts: mapSlice(r.Verdicts, func(v uint32) gate.Verdict { return gate.Verdict(v) }),
+		Loads:    mapSlice(r.Loads, decodeLoad),
 		Own:      decodeOwn(r.Own),
 	}
 }
 
-// encodeOwn returns nil for no load, which takes no bytes.
+// encodeOwn returns nil for the zero load, which takes no bytes on the wire.
 func encodeOwn(l kernel.Load) *peerpb.EndpointLoad {
 	if l == (kernel.Load{}) {
 		return nil
@@ -166,28 +167,29 @@
 	}
 }
 
-// mapped returns the values of a list, each turned by f; nil for an empty list.
-func mapped[A, B any](list []A, f func(A) B) []B {
+// mapSlice applies f to each element of a list. It returns nil for an empty list.
+func mapSlice[A, B any](list []A, f func(A) B) []B {
 	if len(list) == 0 {
 		return nil
 	}
-	turned := make([]B, len(list))
+	result := make([]B, len(list))
 	for i, a := range list {
-		turned[i] = f(a)
+		result[i] = f(a)
 	}
-	return turned
+	return result
 }
 
-// pointed returns the message of a value; nil for nil.
-func pointed[A, B any](a *A, f func(A) *B) *B {
+// encodeOptional applies f to the value of a pointer. It returns nil for nil.
+func encodeOptional[A, B any](a *A, f func(A) *B) *B {
 	if a == nil {
 		return nil
 	}
 	return f(*a)
 }
 
-// valued returns a pointer to a message turned by f; nil for nil.
-func valued[A, B any](a *A, f func(*A) B) *B {
+// decodeOptional applies f to a message and returns a pointer to the result. It
+// returns nil for nil.
+func decodeOptional[A, B any](a *A, f func(*A) B) *B {
 	if a == nil {
 		return nil
 	}
--- a/internal/peer/fleet.go
+++ b/internal/peer/codec_fleet.go
@@ -53,7 +53,7 @@
 	return &peerpb.News{
 		Base:    n.Base,
 		Version: n.Version,
-		Changed: mapped(n.Changed, encodeInstance),
+		Changed: mapSlice(n.Changed, encodeInstance),
 		Removed: n.Removed,
 	}
 }
@@ -62,7 +62,7 @@
 	return kernel.News{
 		Base:    n.Base,
 		Version: n.Version,
-		Changed: mapped(n.Changed, decodeInstance),
+		Changed: mapSlice(n.Changed, decodeInstance),
 		Removed: n.Removed,
 	}
 }
@@ -73,10 +73,10 @@
 		Origin:      d.Origin,
 		Serial:      d.Serial,
 		ListVersion: d.ListVersion,
-		Sums:        mapped(d.Sums, encodeSum),
-		Absent:      mapped(d.Absent, encodeAbsence),
-		Extra:       mapped(d.Extra, encodeIntro),
-		Demands:     mapped(d.Demands, encodeDemand),
+		Sums:        mapSlice(d.Sums, encodeSum),
+		Absent:      mapSlice(d.Absent, encodeAbsence),
+		Extra:       mapSlice(d.Extra, encodeIntro),
+		Demands:     mapSlice(d.Demands, encodeDemand),
 	}
 }
 
@@ -86,10 +86,10 @@
 		Origin:      d.Origin,
 		Serial:      d.Serial,
 		ListVersion: d.ListVersion,
-		Sums:        mapped(d.Sums, decodeSum),
-		Absent:      mapped(d.Absent, decodeAbsence),
-		Extra:       mapped(d.Extra, decodeIntro),
-		Demands:     mapped(d.Demands, decodeDemand),
+		Sums:        mapSlice(d.Sums, decodeSum),
+		Absent:      mapSlice(d.Absent, decodeAbsence),
+		Extra:       mapSlice(d.Extra, decodeIntro),
+		Demands:     mapSlice(d.Demands, decodeDemand),
 	}
 }
 
@@ -134,7 +134,7 @@
 	return kernel.ModelDemand{Model: d.Model, Rate: float64(d.Rate)}
 }
 
-// encodeAddr returns the binary form of an address; an invalid one has none.
+// encodeAddr returns the binary form of an address, nil if the address is invalid.
 func encodeAddr(a netip.AddrPort) []byte {
 	if !a.IsValid() {
 		return nil
@@ -146,7 +146,8 @@
 	return data
 }
 
-// decodeAddr returns the invalid address for data that is no address.
+// decodeAddr parses the binary form of an address. It returns the zero address for
+// malformed data.
 func decodeAddr(data []byte) netip.AddrPort {
 	var a netip.AddrPort
 	if err := a.UnmarshalBinary(data); err != nil {
@@ -155,8 +156,8 @@
 	return a
 }
 
-// duration returns the time of a number of milliseconds, which may come from a
-// peer with any value.
+// duration converts milliseconds to a duration. It clamps values that overflow,
+// because a peer may send any number.
 func duration(ms uint64) time.Duration {
 	const most = math.MaxInt64 / uint64(time.Millisecond)
 	return time.Duration(min(ms, most)) * time.Millisecond
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -16,7 +16,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// encoded returns messages as frames hold them.
+// encoded returns the encoded messages, each also truncated, and malformed data.
 func encoded(f *testing.F, messages ...proto.Message) [][]byte {
 	f.Helper()
 	var list [][]byte
@@ -44,8 +44,8 @@
 	return k, permits, now
 }
 
-// FuzzHeartbeat decodes a heartbeat and lets a whole kernel take it: a peer of a
-// newer or broken version must not end the node.
+// FuzzHeartbeat decodes a heartbeat and applies it to a complete kernel: a peer with
+// a newer or broken version must not crash the node.
 func FuzzHeartbeat(f *testing.F) {
 	for _, data := range encoded(f,
 		peer.EncodeBeat(&kernel.Beat{Node: "n2", Incarnation: 7, Serial: 1, Revision: 9, Loads: []kernel.EndpointLoad{{Endpoint: "w1"}}}),
@@ -69,7 +69,7 @@
 	})
 }
 
-// FuzzPermit decodes asks and returns and lets a gate take them.
+// FuzzPermit decodes permit requests and releases and applies them to a gate.
 func FuzzPermit(f *testing.F) {
 	for _, data := range encoded(f,
 		peer.EncodePermit("n2", gate.Batch{Asks: []gate.Ask{{ID: 1, Endpoint: "w1", Tokens: 100, Lease: time.Minute, Suspect: 2}}, Returns: []gate.Return{{ID: 4, Took: time.Second}}}),
@@ -84,7 +84,7 @@
 		_, permits, now := newKernel()
 		batch := peer.DecodePermit(&m)
 		reply := permits.Apply(now, batch)
-		require.Len(t, reply.Verdicts, len(batch.Asks), "each ask is answered")
+		require.Len(t, reply.Verdicts, len(batch.Asks), "each request has a verdict")
 		permits.Expire(now.Add(time.Hour))
 		for _, l := range permits.Loads() {
 			require.GreaterOrEqual(t, l.Load.Requests, 0)
--- a/internal/peer/key.go
+++ b/internal/peer/key.go
@@ -25,34 +25,33 @@
 	SecretSize = 32
 
 	keyPurpose = "bulrushhinge peer v1"
-	// DefaultHandshake is how long a peer may take to prove itself.
+	// DefaultHandshake is the timeout of the handshake.
 	DefaultHandshake = 5 * time.Second
 )
 
 var (
-	// ErrKey is returned where a fleet secret cannot be used.
-	ErrKey = errors.New("peer: fleet secret")
+	// ErrKey is returned if a fleet secret cannot be used.
+	ErrKey = errors.New("peer: invalid fleet secret")
 
-	errStranger = errors.New("peer: not of this fleet")
+	errUnknownKey = errors.New("peer: key is not of this fleet")
 
-	strangers = metrics.GetOrCreateCounter("bulrushhinge_peer_strangers_total")
+	failedHandshakes = metrics.GetOrCreateCounter("bulrushhinge_peer_strangers_total")
 )
 
 type (
-	// Key proves to peers that a node is of the fleet, and checks theirs. All
-	// nodes derive the same Ed25519 key from a secret in their settings and
-	// show it in mutual TLS 1.3. No certificate authority, disk or wall clock
-	// is involved: a peer is known by its key alone, so that a clock that steps
-	// cuts nobody off.
+	// Key authenticates the nodes of a fleet to each other. All nodes derive the
+	// same Ed25519 key from a secret in their settings and present it in mutual
+	// TLS 1.3. No certificate authority, disk or wall clock is involved: a peer
+	// is identified by its key alone, so that a clock step disconnects no node.
 	//
-	// What goes wrong without it: whoever reaches the peers' port can feed
-	// heartbeats, permits and relayed requests to a node.
+	// Without authentication, anyone who reaches the peer port could inject
+	// heartbeats, permit requests and relayed requests.
 	Key struct {
 		certificate tls.Certificate
 		accepted    [][]byte
 	}
 
-	// listener makes connections that finish their handshake in time.
+	// listener accepts connections whose handshake has a timeout.
 	listener struct {
 		net.Listener
 		config  *tls.Config
@@ -67,12 +66,12 @@
 	}
 )
 
-// NewKey returns the Key of secrets of SecretSize random bytes. The first is
-// shown to peers; all are accepted, so that a secret can be replaced node by
-// node.
+// NewKey returns the Key for secrets of SecretSize random bytes. The first one is
+// presented to peers, and all are accepted, so that a secret can be replaced node
+// by node.
 func NewKey(secrets ...[]byte) (*Key, error) {
 	if len(secrets) == 0 {
-		return nil, fmt.Errorf("%w: none given", ErrKey)
+		return nil, fmt.Errorf("%w: no secret given", ErrKey)
 	}
 	k := &Key{}
 	for i, secret := range secrets {
@@ -94,7 +93,7 @@
 
 func derive(secret []byte) (ed25519.PrivateKey, error) {
 	if len(secret) != SecretSize {
-		return nil, fmt.Errorf("%w: %d bytes where %d are needed", ErrKey, len(secret), SecretSize)
+		return nil, fmt.Errorf("%w: got %d bytes, want %d", ErrKey, len(secret), SecretSize)
 	}
 	seed, err := hkdf.Key(sha256.New, secret, nil, keyPurpose, ed25519.SeedSize)
 	if err != nil {
@@ -103,17 +102,17 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// certify wraps the key in a certificate, the only form in which TLS shows it.
-// Nothing else in the certificate is read.
+// certify wraps the key in a certificate, as TLS requires. Nothing else in the
+// certificate is checked.
 func certify(private ed25519.PrivateKey, public ed25519.PublicKey) (tls.Certificate, error) {
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: keyPurpose}}
 	der, err := x509.CreateCertificate(nil, template, template, public, private)
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, err
 }
 
-// config returns the settings of both sides. The usual verification against
-// names and authorities is replaced by that of the key; the handshake proves
-// that the peer holds it.
+// config returns the TLS settings for both sides. Verification of the key replaces
+// the usual one of names and authorities; the handshake proves that the peer holds
+// the private key.
 func (k *Key) config() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -128,21 +127,21 @@
 
 func (k *Key) verify(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return errStranger
+		return errUnknownKey
 	}
 	public, ok := s.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok || !slices.ContainsFunc(k.accepted, func(known []byte) bool { return bytes.Equal(known, public) }) {
-		return errStranger
+		return errUnknownKey
 	}
 	return nil
 }
 
-// dialed returns a connection that has proven itself to a peer and checked it.
+// clientHandshake runs the client side of the handshake on a connection.
 //
-// The handshake does not end with the call that needs it: were it given up when
-// a heartbeat is late, an overloaded node would begin it anew each time and
+// The handshake is not cancelled with the call that needs it. Otherwise an
+// overloaded node, whose heartbeats time out, would restart it for each call and
 // never finish.
-func (k *Key) dialed(ctx context.Context, raw net.Conn) (net.Conn, error) {
+func (k *Key) clientHandshake(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), DefaultHandshake)
 	defer cancel()
 	c := &conn{Conn: tls.Client(raw, k.config()), timeout: DefaultHandshake}
@@ -153,12 +152,13 @@
 	return c, nil
 }
 
-// Close closes the connection below at once. The protocol marks the end of each
-// message itself, and a farewell to a peer that is gone would only fail.
+// Close closes the underlying connection at once, without a TLS close_notify. The
+// protocol marks the end of each message itself, and an alert to a dead peer would
+// only fail.
 func (c *conn) Close() error { return c.NetConn().Close() }
 
-// Accept returns the next connection. Its handshake comes with the first read,
-// on the connection's own goroutine.
+// Accept returns the next connection. Its handshake runs at the first read, on the
+// connection's own goroutine.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -167,13 +167,13 @@
 	return &conn{Conn: tls.Server(raw, l.config), timeout: l.timeout}, nil
 }
 
-// Read reads from a peer that has proven itself. A stranger that connects and
-// says nothing is cut off, so that it holds no memory.
+// Read runs the handshake first, with a timeout, so that an unauthenticated client
+// that connects and sends nothing is disconnected and holds no memory.
 func (c *conn) Read(data []byte) (int, error) {
 	c.once.Do(func() {
 		_ = c.SetDeadline(time.Now().Add(c.timeout))
 		if c.err = c.Handshake(); c.err != nil {
-			strangers.Inc()
+			failedHandshakes.Inc()
 		}
 		_ = c.SetDeadline(time.Time{})
 	})
--- a/internal/peer/key_test.go
+++ b/internal/peer/key_test.go
@@ -63,13 +63,13 @@
 	return err
 }
 
-func TestPeersOfOneFleetKnowEachOther(t *testing.T) {
+func TestNodesWithTheSameSecretConnect(t *testing.T) {
 	b, addr := serve(t, newKey(t, secret(1)))
 	require.NoError(t, beat(t, newKey(t, secret(1)), addr))
 	require.EqualValues(t, 1, b.count.Load())
 }
 
-// Guards against this failure: nodes cannot be given a new secret without a stop of the fleet.
+// Guards against secrets that cannot be replaced without stopping the fleet.
 func TestSecretIsReplacedNodeByNode(t *testing.T) {
 	old, accepting, showing, done := newKey(t, secret(1)), newKey(t, secret(1), secret(2)),
 		newKey(t, secret(2), secret(1)), newKey(t, secret(2))
@@ -83,8 +83,9 @@
 	require.ErrorIs(t, beat(t, done, addr), peer.ErrUnreachable)
 }
 
-// Guards against this failure: instances appear that nobody started, or endpoints leave.
-func TestStrangersInjectNothing(t *testing.T) {
+// Guards against unauthenticated heartbeats, which could add instances that nobody
+// started or make endpoints leave.
+func TestUnauthenticatedClientsAreRejected(t *testing.T) {
 	b, addr := serve(t, newKey(t, secret(1)))
 	_, private, err := ed25519.GenerateKey(nil)
 	require.NoError(t, err)
@@ -98,7 +99,7 @@
 		c.InsecureSkipVerify = true
 		return func(raw net.Conn) net.Conn { return tls.Client(raw, c) }
 	}
-	for name, dress := range map[string]func(net.Conn) net.Conn{
+	for name, wrap := range map[string]func(net.Conn) net.Conn{
 		"plain":           plain,
 		"no certificate":  secured(&tls.Config{}),
 		"own certificate": secured(&tls.Config{Certificates: []tls.Certificate{own}}),
@@ -107,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			raw, err := net.Dial("tcp", addr.String())
 			require.NoError(t, err)
-			c := drpcconn.New(dress(raw))
+			c := drpcconn.New(wrap(raw))
 			defer c.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
@@ -117,14 +118,14 @@
 	}
 	require.ErrorIs(t, beat(t, newKey(t, secret(2)), addr), peer.ErrUnreachable, "another fleet")
 	require.Zero(t, b.count.Load())
-	require.NoError(t, beat(t, newKey(t, secret(1)), addr), "and the fleet's own still get through")
+	require.NoError(t, beat(t, newKey(t, secret(1)), addr), "nodes of the fleet still connect")
 }
 
-// Guards against this failure: a node tells a stranger what it was about to tell a peer.
+// Guards against a node that sends messages for a peer to an unauthenticated server.
 func TestClientChecksTheServer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := make(chan []byte, 1)
+	received := make(chan []byte, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -136,13 +137,13 @@
 		der, _ := x509.CreateCertificate(nil, template, template, private.Public(), private)
 		s := tls.Server(c, &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: private}}})
 		data, _ := io.ReadAll(s)
-		heard <- data
+		received <- data
 	}()
 	addr, err := netip.ParseAddrPort(l.Addr().String())
 	require.NoError(t, err)
 	require.ErrorIs(t, beat(t, newKey(t, secret(1)), addr), peer.ErrUnreachable)
 	require.NoError(t, l.Close())
-	require.Empty(t, <-heard)
+	require.Empty(t, <-received)
 }
 
 func TestKeyRefusesWeakSecrets(t *testing.T) {
@@ -173,9 +174,9 @@
 	}
 }
 
-// Guards against this failure: a node runs out of memory, or of connections, while little
-// happens.
-func TestSilentStrangerIsCutOff(t *testing.T) {
+// Guards against a node that runs out of memory or connections because clients
+// connect and send nothing.
+func TestIdleHandshakeTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s, err := peer.NewServer(peer.ServerConfig{Listener: l, Key: newKey(t, secret(1)), Beats: &beats{}, Handshake: time.Millisecond})
--- a/internal/peer/late_test.go
+++ b/internal/peer/late_test.go
@@ -14,16 +14,16 @@
 )
 
 type (
-	// counted counts the connections that a listener accepts.
-	counted struct {
+	// acceptCounter counts the connections that a listener accepts.
+	acceptCounter struct {
 		net.Listener
 		accepted atomic.Int32
 	}
 
-	// promptBeats answers at once, and says that a heartbeat has come.
+	// promptBeats replies at once, and signals that a heartbeat has arrived.
 	promptBeats struct{ arrived chan struct{} }
 
-	// lateBeats answers every second heartbeat only when told.
+	// lateBeats replies to every second heartbeat only when released.
 	lateBeats struct {
 		count   atomic.Int32
 		arrived chan struct{}
@@ -31,7 +31,7 @@
 	}
 )
 
-func (l *counted) Accept() (net.Conn, error) {
+func (l *acceptCounter) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted.Add(1)
@@ -55,12 +55,12 @@
 	return &kernel.Beat{Node: "n1"}
 }
 
-// pair returns a client of a server that answers heartbeats, its address, and the
-// connections that it accepts.
-func pair(t *testing.T, b peer.Beats) (*peer.Client, netip.AddrPort, *counted) {
+// pair returns a client, the address of a server that replies to heartbeats, and a
+// counter of the connections that the server accepts.
+func pair(t *testing.T, b peer.Beats) (*peer.Client, netip.AddrPort, *acceptCounter) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	listening := &counted{Listener: l}
+	listening := &acceptCounter{Listener: l}
 	s, err := peer.NewServer(peer.ServerConfig{Listener: listening, Key: newKey(t, secret(1)), Beats: b})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
@@ -71,9 +71,9 @@
 	return c, addr, listening
 }
 
-// Guards against this failure: a call that nobody cancelled fails with a closed or reset
-// connection.
-func TestCancellationThatCrossesTheAnswerKeepsTheConnection(t *testing.T) {
+// Guards against a call that fails with a closed or reset connection because the
+// previous call on it was cancelled while its reply ended.
+func TestCancellationDuringReplyKeepsTheConnection(t *testing.T) {
 	b := &promptBeats{arrived: make(chan struct{}, 1)}
 	c, addr, listening := pair(t, b)
 	const rounds = 2000
@@ -83,7 +83,7 @@
 			<-b.arrived
 			cancel()
 		}()
-		// Whether the answer or the cancellation is first differs.
+		// Either the reply or the cancellation may be first.
 		_, _ = c.Beat(ctx, addr, &kernel.Beat{Node: "n2"})
 		<-ctx.Done()
 		_, err := c.Beat(t.Context(), addr, &kernel.Beat{Node: "n2"})
@@ -93,11 +93,12 @@
 		default:
 		}
 	}
-	// No more than the pool keeps for one peer: calls end late now and then.
+	// At most as many as the pool keeps for one peer, as some calls end late.
 	require.LessOrEqual(t, listening.accepted.Load(), int32(8))
 }
 
-// Guards against this failure: overloaded nodes lose each other and never find together again.
+// Guards against overloaded nodes that lose each other permanently, because each
+// late heartbeat closes its connection.
 func TestLateHeartbeatKeepsItsConnection(t *testing.T) {
 	b := &lateBeats{arrived: make(chan struct{}), release: make(chan struct{})}
 	c, addr, listening := pair(t, b)
@@ -114,7 +115,7 @@
 		require.ErrorIs(t, err, peer.ErrUnreachable)
 		b.release <- struct{}{}
 	}
-	// The next call may come while the late one still ends, and take another
+	// The next call may start while the late one is still ending, and take another
 	// connection; both are then used in turn.
 	require.LessOrEqual(t, listening.accepted.Load(), int32(rounds/2))
 }
--- a/internal/peer/lease.go
+++ b/internal/peer/lease.go
@@ -16,26 +16,27 @@
 	Release(now time.Time, l poison.Lease, died bool)
 }
 
-// Acquire asks a node for a lease.
+// Acquire requests a lease from a node, and reports whether it was granted.
 func (c *Client) Acquire(ctx context.Context, to netip.AddrPort, l poison.Lease) (bool, error) {
-	reply, err := c.peer(ctx, to).Lease(ctx, encodeLease(l))
+	reply, err := c.rpcClient(ctx, to).Lease(ctx, encodeLease(l))
 	if err != nil {
 		return false, unreachable(to, err)
 	}
 	return reply.Granted, nil
 }
 
-// GiveBack gives a lease back.
+// GiveBack releases a lease. died reports that the endpoint died while it ran the
+// request.
 func (c *Client) GiveBack(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
 	req := encodeLease(l)
 	req.Release, req.Died = true, died
-	if _, err := c.peer(ctx, to).Lease(ctx, req); err != nil {
+	if _, err := c.rpcClient(ctx, to).Lease(ctx, req); err != nil {
 		return unreachable(to, err)
 	}
 	return nil
 }
 
-// Lease serves a lease asked for or given back.
+// Lease serves the acquisition and release of leases.
 func (h *handler) Lease(_ context.Context, r *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
 	lease := poison.Lease{Print: r.Print, ID: r.Id, Duration: time.Duration(r.LeaseMs) * time.Millisecond}
 	if r.Release {
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxQueued is how many messages wait to be written to one peer; a peer
-	// that takes no more is unreachable.
+	// maxQueued is the number of messages that can wait to be written to one
+	// peer. A call that times out on a full queue reports the peer as unreachable.
 	maxQueued = 256
-	// maxUnanswered is how many messages in a row may stay without an answer
-	// in time before the stream is given up and opened anew.
+	// maxUnanswered is the number of consecutive messages without a reply in
+	// time after which the stream is closed and opened anew.
 	maxUnanswered = 32
 )
 
 var (
-	errStreamEnded = errors.New("the stream ended")
-	errNoAnswer    = errors.New("no message was answered in time")
+	errStreamEnded = errors.New("stream ended")
+	errNoAnswer    = errors.New("too many messages without a reply in time")
 )
 
 type (
-	// permitStreams keeps one open stream to each peer that the node asks for
-	// permits. Calls of their own would each carry the name of the call, its
-	// end and two more TLS records, several times the size of the message.
+	// permitStreams keeps one open stream to each peer that the node requests
+	// permits from. Separate calls would each carry the name of the call, its end
+	// and two more TLS records, which is several times the size of the message.
 	permitStreams struct {
 		client *Client
 		ctx    context.Context
@@ -37,8 +37,8 @@
 		byAddr map[netip.AddrPort]*permitStream
 	}
 
-	// permitStream is the stream to one peer. One goroutine opens it and
-	// reads, another writes.
+	// permitStream is the stream to one peer. One goroutine opens it and reads,
+	// another one writes.
 	permitStream struct {
 		queue chan *peerpb.PermitRequest
 		// ctx ends when the stream can no longer be used.
@@ -74,8 +74,8 @@
 	p.done.Wait()
 }
 
-// stream returns the stream to a peer, and starts to open one where there is
-// none. It returns nil once the streams are closed.
+// stream returns the stream to a peer, and starts to open one if there is none. It
+// returns nil once the streams are closed.
 func (p *permitStreams) stream(to netip.AddrPort) *permitStream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +95,7 @@
 	p.byAddr[to] = s
 	p.done.Go(func() {
 		s.run(&p.done, func() (peerpb.DRPCPeer_PermitClient, error) {
-			return p.client.peer(ctx, to).Permit(ctx)
+			return p.client.rpcClient(ctx, to).Permit(ctx)
 		})
 		p.forget(to, s)
 	})
@@ -124,7 +124,7 @@
 		if err != nil {
 			return
 		}
-		s.answer(reply)
+		s.deliver(reply)
 	}
 }
 
@@ -143,7 +143,7 @@
 }
 
 func (s *permitStream) call(ctx context.Context, m *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
-	answer := s.expect(m)
+	answer := s.register(m)
 	defer s.forget(m.Number)
 	select {
 	case s.queue <- m:
@@ -158,13 +158,13 @@
 	case <-s.ctx.Done():
 		return nil, context.Cause(s.ctx)
 	case <-ctx.Done():
-		s.missed()
+		s.recordTimeout()
 		return nil, ctx.Err()
 	}
 }
 
-// expect numbers a message and returns where its reply will be.
-func (s *permitStream) expect(m *peerpb.PermitRequest) <-chan *peerpb.PermitReply {
+// register sets a message's number and returns the channel for its reply.
+func (s *permitStream) register(m *peerpb.PermitRequest) <-chan *peerpb.PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.number++
@@ -180,9 +180,9 @@
 	delete(s.waiting, number)
 }
 
-// answer hands a reply to whom waits for it. A reply that comes too late is
-// dropped.
-func (s *permitStream) answer(reply *peerpb.PermitReply) {
+// deliver passes a reply to the call that waits for it. A reply that comes too late
+// is dropped.
+func (s *permitStream) deliver(reply *peerpb.PermitReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unanswered = 0
@@ -192,13 +192,13 @@
 	}
 }
 
-// missed notes a message that was not answered in time.
+// recordTimeout counts a message that got no reply in time.
 //
-// A peer whose instance is gone resets nothing: TCP alone would keep the stream
-// for many minutes, and every ask would wait for its timeout although the peer
-// is back at the same address. After a number of asks without any answer the
-// stream is opened anew.
-func (s *permitStream) missed() {
+// A peer whose instance was removed does not reset the connection: TCP alone would
+// keep the stream for many minutes, and every permit request would time out although
+// the peer is back at the same address. After maxUnanswered messages without any
+// reply, the stream is opened anew.
+func (s *permitStream) recordTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unanswered++
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -15,7 +15,8 @@
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 )
 
-// echo answers each ask with the ask's own tokens as the load, after a wait.
+// echo replies to a batch with the tokens of its first request as the load, after a
+// wait.
 type echo struct{ wait func(tokens int) }
 
 func (e echo) Apply(_ time.Time, b gate.Batch) gate.Reply {
@@ -47,8 +48,8 @@
 	return gate.Batch{Asks: []gate.Ask{{ID: uint64(tokens), Endpoint: "w1", Tokens: tokens, Lease: time.Second}}}
 }
 
-// Guards against this failure: a request gets the permit of another.
-func TestPermitsOfOneStreamDoNotCross(t *testing.T) {
+// Guards against a request that gets the permit of another one.
+func TestConcurrentPermitsGetTheirOwnReplies(t *testing.T) {
 	s, to := servePermits(t, "127.0.0.1:0", echo{wait: func(int) {}})
 	defer s.Close()
 	c := permitClient(t)
@@ -64,9 +65,9 @@
 	done.Wait()
 }
 
-// Guards against this failure: after an ask that came too late, each ask gets the reply of the
-// one before.
-func TestLatePermitReachesNobody(t *testing.T) {
+// Guards against replies shifted by one after a late reply, so that each request gets
+// the reply to the previous one.
+func TestLateReplyIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	s, to := servePermits(t, "127.0.0.1:0", echo{wait: func(tokens int) {
 		if tokens == 1 {
@@ -85,9 +86,9 @@
 	require.Equal(t, 2, reply.Loads[0].Load.Tokens)
 }
 
-// Guards against this failure: a home that was started again at its address grants nothing to
-// nodes that asked it before.
-func TestPermitsReachAHomeThatStartedAgain(t *testing.T) {
+// Guards against an owner that restarts at the same address and can grant nothing to
+// nodes that requested permits before, because they keep the old stream.
+func TestPermitsReachARestartedOwner(t *testing.T) {
 	s, to := servePermits(t, "127.0.0.1:0", echo{wait: func(int) {}})
 	c := permitClient(t)
 	_, err := c.Permit(t.Context(), to, ask(1))
@@ -103,9 +104,9 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// Guards against this failure: every ask to a home times out for many minutes, though the home
-// is well.
-func TestSilentStreamIsOpenedAnew(t *testing.T) {
+// Guards against permit requests that time out for many minutes on a dead stream
+// although the owner is live.
+func TestUnresponsiveStreamIsReopened(t *testing.T) {
 	var mu sync.Mutex
 	streams := 0
 	block := make(chan struct{})
@@ -127,5 +128,5 @@
 		mu.Lock()
 		defer mu.Unlock()
 		return streams >= 2
-	}, time.Minute, time.Millisecond, "the second stream's first ask reaches the home")
+	}, time.Minute, time.Millisecond, "the second stream's first request reaches the owner")
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -20,12 +20,12 @@
 
 const maxStatus = 599
 
-// ErrRelay is returned where a relayed answer did not come whole. Whether the
-// request was run is unknown.
-var ErrRelay = errors.New("peer: relay cut")
+// ErrRelay is returned if a relayed response is incomplete or invalid. Whether the
+// request ran is unknown.
+var ErrRelay = errors.New("peer: relay failed")
 
 type (
-	// Relayed is a caller's request as it came to another node.
+	// Relayed is a caller's request as received by another node.
 	Relayed struct {
 		Method string
 		URI    string
@@ -33,23 +33,23 @@
 		Body   []byte
 	}
 
-	// Relays serves relayed requests as if their callers had come themselves.
+	// Relays serves relayed requests like those that callers send directly.
 	Relays interface {
 		Relay(ctx context.Context, r Relayed, w http.ResponseWriter)
 	}
 
 	relayWriter struct {
-		stream peerpb.DRPCPeer_RelayStream
-		header http.Header
-		sent   bool
-		err    error
+		stream      peerpb.DRPCPeer_RelayStream
+		header      http.Header
+		wroteHeader bool
+		err         error
 	}
 )
 
-// Relay passes a request to another node and copies its answer to w. It reports
-// whether the answer's head was written before an error.
+// Relay forwards a request to another node and copies the response to w. It reports
+// whether the response's header was written before an error.
 func (c *Client) Relay(ctx context.Context, to netip.AddrPort, r Relayed, w http.ResponseWriter) (started bool, err error) {
-	stream, err := c.peer(ctx, to).Relay(ctx, &peerpb.RelayRequest{
+	stream, err := c.rpcClient(ctx, to).Relay(ctx, &peerpb.RelayRequest{
 		Method: r.Method, Uri: r.URI, Headers: encodeHeader(r.Header), Body: r.Body,
 	})
 	if err != nil {
@@ -76,8 +76,8 @@
 func (h *handler) Relay(r *peerpb.RelayRequest, stream peerpb.DRPCPeer_RelayStream) (err error) {
 	w := &relayWriter{stream: stream, header: http.Header{}}
 	defer func() {
-		// A handler gives an answer up by this panic, as under net/http; the
-		// other node must see the answer cut, not ended.
+		// A handler panics to abort a response, as with net/http. The other node
+		// must see an aborted response, not a complete one.
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", ErrRelay, p)
 		}
@@ -91,19 +91,19 @@
 	return stream.Send(&peerpb.RelayPart{End: true})
 }
 
-// Header returns the header of the answer.
+// Header returns the header of the response.
 func (w *relayWriter) Header() http.Header { return w.header }
 
-// WriteHeader sends the head of the answer.
+// WriteHeader sends the status and header of the response.
 func (w *relayWriter) WriteHeader(status int) {
-	if w.sent {
+	if w.wroteHeader {
 		return
 	}
-	w.sent = true
+	w.wroteHeader = true
 	w.send(&peerpb.RelayPart{Status: uint32(status), Headers: encodeHeader(w.header)})
 }
 
-// Write sends a piece of the answer.
+// Write sends a part of the response body.
 func (w *relayWriter) Write(data []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	w.send(&peerpb.RelayPart{Data: data})
@@ -113,7 +113,7 @@
 	return len(data), nil
 }
 
-// Flush does nothing: every piece is sent at once.
+// Flush does nothing because every part is sent at once.
 func (w *relayWriter) Flush() {}
 
 func (w *relayWriter) send(p *peerpb.RelayPart) {
@@ -159,17 +159,17 @@
 	return h
 }
 
-func options() drpcserver.Options {
-	return drpcserver.Options{Manager: managed()}
+func serverOptions() drpcserver.Options {
+	return drpcserver.Options{Manager: managerOptions()}
 }
 
-// managed returns the settings of both sides of a connection.
+// managerOptions returns the settings for both sides of a connection.
 //
-// By default a call that times out closes its connection. Under overload each
-// late heartbeat would then cost a new handshake, which is more load, and nodes
-// would lose each other for good. A soft cancel ends the call alone. It waits
-// for a write in progress, which would cost the connection too.
-func managed() drpcmanager.Options {
+// By default a call that times out closes its connection. Under overload, each late
+// heartbeat would then cause a new handshake and more load, and nodes would lose
+// each other permanently. A soft cancel ends only the call. It waits for a write in
+// progress, because interrupting it would close the connection too.
+func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		SoftCancel:      true,
 		SoftCancelGrace: cancelGrace,
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,5 +1,5 @@
-// Package peer speaks the protocol between the fleet's own nodes: heartbeats,
-// permits and the accepted configuration.
+// Package peer implements the protocol between the fleet's nodes: heartbeats,
+// permits, leases, relayed requests and the accepted configuration.
 package peer
 
 import (
@@ -18,17 +18,17 @@
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
 )
 
-// maxReplyBytes is the size from which a reply takes no further value. A single
-// value is at most 1 MiB; the transport takes 4 MiB.
+// maxReplyBytes is the size of all values in a reply above which no further one is
+// added. A single value is at most 1 MiB; the transport takes maxMessageBytes.
 const maxReplyBytes = 1 << 20
 
-// ErrServe is returned where the peer listener failed.
+// ErrServe is returned if the peer listener failed.
 var ErrServe = errors.New("peer: serve")
 
 type (
 	// Beats answers heartbeats.
 	Beats interface {
-		// Beat takes a peer's heartbeat and returns the node's own for it.
+		// Beat applies a peer's heartbeat and returns the node's own as the reply.
 		Beat(ctx context.Context, b *kernel.Beat) *kernel.Beat
 	}
 
@@ -39,17 +39,16 @@
 
 	// Values holds the accepted configuration.
 	Values interface {
-		// Value returns the value of a key, nil where there is none.
+		// Value returns the value of a key, nil if there is none.
 		Value(key string) []byte
 	}
 
 	// ServerConfig is the settings of a Server.
 	ServerConfig struct {
 		Listener net.Listener
-		// Key proves the node to its peers and checks them.
+		// Key authenticates the node and its peers to each other.
 		Key *Key
-		// Handshake is how long a peer may take to prove itself; 0 is
-		// DefaultHandshake.
+		// Handshake is the timeout of the handshake; 0 is DefaultHandshake.
 		Handshake time.Duration
 		Beats     Beats
 		Permits   Permits
@@ -77,7 +76,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{cancel: cancel, done: make(chan error, 1)}
-	server := drpcserver.NewWithOptions(&endHandler{Handler: mux}, options())
+	server := drpcserver.NewWithOptions(&endHandler{Handler: mux}, serverOptions())
 	go func() {
 		s.done <- server.Serve(ctx, &listener{Listener: c.Listener, config: c.Key.config(), timeout: cmp.Or(c.Handshake, DefaultHandshake)})
 	}()
@@ -98,7 +97,7 @@
 	return EncodeBeat(h.config.Beats.Beat(ctx, DecodeBeat(b))), nil
 }
 
-// Permit serves a stream of batches of asks, declarations and returns.
+// Permit serves a stream of batches of permit requests, declarations and releases.
 func (h *handler) Permit(stream peerpb.DRPCPeer_PermitStream) error {
 	for {
 		r, err := stream.Recv()
@@ -113,8 +112,8 @@
 	}
 }
 
-// Config serves values of the accepted configuration. What does not fit one
-// reply is left out; the peer asks for it again.
+// Config serves values of the accepted configuration. Values that do not fit into
+// one reply are left out; the peer requests them again.
 func (h *handler) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigReply, error) {
 	reply := &peerpb.ConfigReply{Values: map[string][]byte{}}
 	size := 0
--- a/internal/peer/size.go
+++ b/internal/peer/size.go
@@ -7,26 +7,26 @@
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
 )
 
-// Names of the calls, as they stand on the wire.
+// Names of the calls on the wire.
 const (
 	CallBeat   CallName = "/peer.Peer/Beat"
 	CallConfig CallName = "/peer.Peer/Config"
 )
 
-// frameStream is a stream number of a connection that has been in use for a
-// while; its encoded length is that of most calls.
+// frameStream is a typical stream number of a connection that has been in use for a
+// while. Its encoded length is that of most calls.
 const frameStream = 1 << 10
 
-// A call and its answer are each written in two parts, the message and the
-// end, and each part is a TLS 1.3 record: 5 bytes of header, 1 of content type
-// and 16 of authentication tag.
+// A call and its reply are each written in two parts, the message and the end, and
+// each part is a TLS 1.3 record: 5 bytes of header, 1 of content type and 16 of
+// authentication tag.
 const (
 	recordBytes = 5 + 1 + 16
 	records     = 2
 )
 
-// numberBytes is what the number of a message takes more in a stream that has
-// long been open: in the frame and in the message.
+// numberBytes is the additional size of the message number, in the frame and in the
+// message, on a stream that has been open for long.
 const numberBytes = 8
 
 type (
@@ -40,8 +40,8 @@
 	}
 )
 
-// RequestBytes returns how many bytes the caller of a call sends at most, with
-// the frames and TLS records around the message but without TCP and IP.
+// RequestBytes returns the most bytes that the client sends for a call, including
+// frames and TLS records but without TCP and IP.
 func RequestBytes[M Message](name CallName, m M) int {
 	return frameBytes(drpcwire.KindInvoke, len(name)) +
 		frameBytes(drpcwire.KindMessage, proto.Size(m)) +
@@ -50,15 +50,15 @@
 		records*recordBytes
 }
 
-// ReplyBytes returns how many bytes the answer to a call takes at most.
+// ReplyBytes returns the most bytes that the server sends in reply to a call.
 func ReplyBytes[M Message](m M) int {
 	return frameBytes(drpcwire.KindMessage, proto.Size(m)) +
 		frameBytes(drpcwire.KindCloseSend, 0) +
 		records*recordBytes
 }
 
-// PermitBytes returns how many bytes a message on an open stream takes at most,
-// either way: one frame in one TLS record.
+// PermitBytes returns the most bytes of a message on an open permit stream, in either
+// direction: one frame in one TLS record.
 func PermitBytes[M *peerpb.PermitRequest | *peerpb.PermitReply](m M) int {
 	return frameBytes(drpcwire.KindMessage, proto.Size(proto.Message(m))) + numberBytes + recordBytes
 }
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -16,15 +16,15 @@
 )
 
 type (
-	// counting dials connections that count what is written to them.
-	counting struct{ sent atomic.Int64 }
+	// countingDialer is a dialer that counts the bytes written to its connections.
+	countingDialer struct{ sent atomic.Int64 }
 
 	countingConn struct {
 		net.Conn
 		sent *atomic.Int64
 	}
 
-	// countingListener accepts connections that count what is written to them.
+	// countingListener counts the bytes written to its accepted connections.
 	countingListener struct {
 		net.Listener
 		sent atomic.Int64
@@ -41,7 +41,7 @@
 	return countingConn{Conn: conn, sent: &l.sent}, nil
 }
 
-func (c *counting) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *countingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	return countingConn{Conn: conn, sent: &c.sent}, err
 }
@@ -56,9 +56,9 @@
 	return gate.Reply{Verdicts: make([]gate.Verdict, len(b.Asks))}
 }
 
-// sized is a server and a client whose sent bytes are counted, with a connection
-// that is up.
-func sized(t *testing.T) (client *peer.Client, to netip.AddrPort, asked, answered *atomic.Int64) {
+// newCountedPair returns a client, the address of its server, and the counters of
+// the bytes that the client (asked) and the server (answered) have sent.
+func newCountedPair(t *testing.T) (client *peer.Client, to netip.AddrPort, asked, answered *atomic.Int64) {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,21 +67,21 @@
 	s, err := peer.NewServer(peer.ServerConfig{Listener: l, Key: key, Permits: permits{}, Beats: &beats{}})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
-	dialer := &counting{}
+	dialer := &countingDialer{}
 	client = peer.NewClient(peer.ClientConfig{Self: "n1", Key: key, Dialer: dialer})
 	t.Cleanup(func() { require.NoError(t, client.Close()) })
 	return client, netip.MustParseAddrPort(l.Addr().String()), &dialer.sent, &l.sent
 }
 
-// The sizes that replays count for a call are what a connection carries.
+// Checks that the sizes that replays use for calls are those on a real connection.
 func TestSizesOfCalls(t *testing.T) {
-	client, to, asked, answered := sized(t)
+	client, to, asked, answered := newCountedPair(t)
 	beat := &kernel.Beat{Node: "n1", Serial: 1}
-	// The number of a stream takes one byte below 128 and two above, as counted.
-	// Each side leaves out the record that ends a call where the other was first;
-	// the sizes count it always.
+	// A stream number takes one byte below 128 and otherwise two, which is what the
+	// sizes assume. A side omits the record that ends a call if the other side has
+	// ended it first; the sizes always include it.
 	const calls, short, endFrame = 140, 126, 27
-	// The first call also sets the connection up.
+	// The first call also opens the connection.
 	reply, err := client.Beat(t.Context(), to, beat)
 	require.NoError(t, err)
 	asked.Store(0)
@@ -98,10 +98,10 @@
 	between(answered.Load(), peer.ReplyBytes(peer.EncodeBeat(reply)), 2)
 }
 
-// The sizes that replays count for a message on an open stream are what the
-// stream carries, but for the numbers, which are short in a new stream.
+// Checks that the sizes that replays use for messages on an open stream are those on
+// a real stream, except for the message numbers, which are short in a new stream.
 func TestSizesOfPermits(t *testing.T) {
-	client, to, asked, answered := sized(t)
+	client, to, asked, answered := newCountedPair(t)
 	batch := gate.Batch{
 		Asks:    []gate.Ask{{ID: 7, Endpoint: "w12", Tokens: 900, Lease: time.Second}},
 		Returns: []gate.Return{{ID: 5, Took: time.Second}},
--- a/internal/peer/values_test.go
+++ b/internal/peer/values_test.go
@@ -14,14 +14,14 @@
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
 )
 
-// held is the values of a node.
-type held map[string][]byte
+// values is the configuration values of a node, by key.
+type values map[string][]byte
 
-func (h held) Value(key string) []byte { return h[key] }
+func (h values) Value(key string) []byte { return h[key] }
 
-func TestValuesComeInAsManyRepliesAsTheyNeed(t *testing.T) {
+func TestValuesSpanSeveralReplies(t *testing.T) {
 	const size = 400 << 10
-	h := held{}
+	h := values{}
 	keys := []string{"missing"}
 	for _, key := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		h[key] = bytes.Repeat([]byte(key), size)
@@ -45,7 +45,7 @@
 	require.Empty(t, got)
 }
 
-func TestBeatCarriesWhatIsInForce(t *testing.T) {
+func TestBeatEncodesRevisionAndFingerprint(t *testing.T) {
 	b := &kernel.Beat{Node: "n1", Revision: 7, Print: 0xabc}
 	data, err := proto.Marshal(peer.EncodeBeat(b))
 	require.NoError(t, err)
