--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -94,7 +94,7 @@
 	}
 	reply := DecodeReply(answer)
 	if len(reply.Verdicts) != len(b.Asks) {
-		return gate.Reply{}, fmt.Errorf("%w: %v answered %d of %d asks", ErrUnreachable, to, len(reply.Verdicts), len(b.Asks))
+		return gate.Reply{}, fmt.Errorf("%w: %v sent %d verdicts for %d requests", ErrUnreachable, to, len(reply.Verdicts), len(b.Asks))
 	}
 	return reply, nil
 }
