--- a/internal/platform/cache.go
+++ b/internal/platform/cache.go
@@ -12,38 +12,38 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// ErrConflict is returned where operators accepted two manifests of the same
+// ErrConflict is returned when operators accepted two manifests of the same
 // revision.
 var ErrConflict = errors.New("platform: two accepted manifests of one revision")
 
 type (
-	// Getter reads values by their keys; those that it does not have are left
-	// out. A Client is one, and so is a peer.
+	// Getter reads values by their keys and may omit those that it does not
+	// have. A Client is a Getter, and so is a peer.
 	Getter interface {
 		Values(ctx context.Context, keys []string) (map[string][]byte, error)
 	}
 
 	// CacheConfig is the settings of a Cache.
 	CacheConfig struct {
-		// Operators are the keys whose records are accepted.
+		// Operators are the public keys that may sign records.
 		Operators []ed25519.PublicKey
 	}
 
-	// Cache holds the newest accepted record and the values it names, whole or
-	// not at all. It verifies signature and digests itself, whoever delivers
-	// them. It is safe for concurrent use.
+	// Cache holds the newest accepted record together with all values that it
+	// refers to; it never applies a part of a revision. It verifies the signature
+	// and all digests, whatever their source. It is safe for concurrent use.
 	Cache struct {
-		config CacheConfig
-		mu     sync.Mutex
-		record manifest.Record
-		raw    []byte
-		values map[manifest.Digest][]byte
-		joiner manifest.Joiner
-		next   pending
+		config  CacheConfig
+		mu      sync.Mutex
+		record  manifest.Record
+		raw     []byte
+		values  map[manifest.Digest][]byte
+		joiner  manifest.Joiner
+		partial partialRevision
 	}
 
-	// pending is verified values of a revision that is not whole yet.
-	pending struct {
+	// partialRevision holds verified values of an incomplete revision.
+	partialRevision struct {
 		revision uint64
 		values   map[manifest.Digest][]byte
 	}
@@ -59,8 +59,7 @@
 	return c.record.Revision
 }
 
-// Value returns a value of the held revision by its key, nil where there is
-// none.
+// Value returns a value of the held revision by its key, nil if there is none.
 func (c *Cache) Value(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +73,8 @@
 	return c.values[manifest.Digest(digest)]
 }
 
-// Fetch reads the record of a getter and what it names. Its result is that of
-// Take.
+// Fetch reads a record and the values that it refers to from a Getter. Its
+// result is that of Take.
 func (c *Cache) Fetch(ctx context.Context, from Getter) (*manifest.Manifest, error) {
 	values, err := from.Values(ctx, []string{KeyAccepted})
 	if err != nil {
@@ -88,10 +87,10 @@
 	return c.Take(ctx, raw, from)
 }
 
-// Take verifies a record and reads the values it names that the cache lacks.
-// It returns the manifest where the record is above what the cache held, and
-// nil where it is not. It returns ErrValue for what does not verify, ErrConflict
-// for another manifest of the held revision, and the getter's errors.
+// Take verifies a record and reads the values that it refers to and the cache
+// lacks. It returns the manifest if the record's revision is above the held one,
+// otherwise nil. It returns ErrValue if verification fails, ErrConflict for
+// another manifest of the held revision, and the Getter's errors.
 func (c *Cache) Take(ctx context.Context, raw []byte, from Getter) (*manifest.Manifest, error) {
 	record, newer, err := c.verify(raw)
 	if err != nil || !newer {
@@ -144,16 +143,16 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := c.read(ctx, record.Revision, []manifest.Digest{record.Digest}, from)
-	maps.Copy(values, own)
+	rootValue, err := c.read(ctx, record.Revision, []manifest.Digest{record.Digest}, from)
+	maps.Copy(values, rootValue)
 	return values, err
 }
 
-// read returns the values of all digests: those that the cache holds and the
-// rest from the getter. What verified is kept for the next try, so that a
-// platform that fails now and then still delivers in the end.
+// read returns the values of all digests, from the cache where it has them and
+// otherwise from the Getter. It keeps verified values for the next try, so that
+// a revision completes even if the platform fails intermittently.
 func (c *Cache) read(ctx context.Context, revision uint64, digests []manifest.Digest, from Getter) (map[manifest.Digest][]byte, error) {
-	values, missing := c.known(digests)
+	values, missing := c.cached(digests)
 	if len(missing) == 0 {
 		return values, nil
 	}
@@ -173,11 +172,11 @@
 			values[d] = data
 		}
 	}
-	c.keep(revision, values)
+	c.keepPartial(revision, values)
 	return values, err
 }
 
-func (c *Cache) known(digests []manifest.Digest) (map[manifest.Digest][]byte, []manifest.Digest) {
+func (c *Cache) cached(digests []manifest.Digest) (map[manifest.Digest][]byte, []manifest.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	values := make(map[manifest.Digest][]byte, len(digests))
@@ -185,7 +184,7 @@
 	for _, d := range digests {
 		if data, ok := c.values[d]; ok {
 			values[d] = data
-		} else if data, ok := c.next.values[d]; ok {
+		} else if data, ok := c.partial.values[d]; ok {
 			values[d] = data
 		} else {
 			missing = append(missing, d)
@@ -194,18 +193,18 @@
 	return values, missing
 }
 
-// keep holds values of one revision that is not whole yet, the highest one, so
-// that the memory is bounded.
-func (c *Cache) keep(revision uint64, values map[manifest.Digest][]byte) {
+// keepPartial keeps values of the highest incomplete revision only, so that
+// memory is bounded.
+func (c *Cache) keepPartial(revision uint64, values map[manifest.Digest][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if revision <= c.record.Revision || revision < c.next.revision {
+	if revision <= c.record.Revision || revision < c.partial.revision {
 		return
 	}
-	if revision > c.next.revision {
-		c.next = pending{revision: revision, values: map[manifest.Digest][]byte{}}
+	if revision > c.partial.revision {
+		c.partial = partialRevision{revision: revision, values: map[manifest.Digest][]byte{}}
 	}
-	maps.Copy(c.next.values, values)
+	maps.Copy(c.partial.values, values)
 }
 
 func (c *Cache) commit(record manifest.Record, raw []byte, root manifest.Root, values map[manifest.Digest][]byte) (*manifest.Manifest, error) {
@@ -219,8 +218,8 @@
 		return nil, fmt.Errorf("%w: %v", ErrValue, err)
 	}
 	c.record, c.raw, c.values = record, raw, values
-	if c.next.revision <= record.Revision {
-		c.next = pending{}
+	if c.partial.revision <= record.Revision {
+		c.partial = partialRevision{}
 	}
 	return m, nil
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform reads what the operators' platform publishes: the accepted
-// configuration and the lagging list of instances. It never writes.
+// Package platform reads the accepted configuration and the instance list, which
+// lags, from the operators' platform. It never writes.
 package platform
 
 import (
@@ -31,12 +31,12 @@
 	// HeaderVersion is the response header that holds a value's version.
 	HeaderVersion = "X-Version"
 	// HeaderEpoch is the response header that counts how often the platform was
-	// restored from a copy; it may be missing.
+	// restored from a backup; it may be missing.
 	HeaderEpoch = "X-Epoch"
 
 	// DefaultWait is how long a watch waits for a change. A watch that the
-	// platform lost without a word costs at most this and watchSlack, so that a
-	// change still comes into force in time.
+	// platform silently lost delays a change by at most this plus watchSlack, so
+	// that the change is still applied in time.
 	DefaultWait = 1500 * time.Millisecond
 
 	configPath = "/v1/config/"
@@ -45,27 +45,28 @@
 	maxValueBytes = 1 << 20
 	watchSlack    = time.Second
 	readTimeout   = 5 * time.Second
-	// readRate and readBurst bound the calls of one node a second: 330 nodes
-	// stay below 2,000. The burst is a first reading of all sections.
+	// readRate and readBurst limit the calls of one node per second, so that 330
+	// nodes stay below 2,000. The burst allows the first read of all sections.
 	readRate  = 6
 	readBurst = 96
-	// maxReads is how many values are read at once.
+	// maxReads is the number of concurrent reads.
 	maxReads = 8
 )
 
 var (
-	// ErrUnavailable is returned where the platform did not answer.
+	// ErrUnavailable is returned when the platform did not answer, or not with
+	// an expected status.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrNotFound is returned where the platform has no such value.
+	// ErrNotFound is returned when the platform has no such value.
 	ErrNotFound = errors.New("platform: not found")
-	// ErrValue is returned where a value is too large or cannot be read.
+	// ErrValue is returned when a value is too large or invalid.
 	ErrValue = errors.New("platform: bad value")
 )
 
 type (
 	// ClientConfig is the settings of a Client.
 	ClientConfig struct {
-		// Addr is where the platform listens.
+		// Addr is the platform's address.
 		Addr netip.AddrPort
 		// Wait is how long a watch waits for a change; 0 is DefaultWait.
 		Wait time.Duration
@@ -88,8 +89,8 @@
 
 	// Value is one value and its version.
 	Value struct {
-		// Version rises with each change of the value, also where the platform
-		// counts anew since it was restored.
+		// Version increases with each change of the value, even if the platform
+		// was restored and reuses its own version numbers.
 		Version uint64
 		Data    []byte
 	}
@@ -120,8 +121,8 @@
 	return v, err
 }
 
-// Values reads values by their keys, a few at once. It returns what it got and
-// the first error.
+// Values reads values by their keys, up to maxReads at once. It returns the
+// values that it read and the first error.
 func (c *Client) Values(ctx context.Context, keys []string) (map[string][]byte, error) {
 	var mu sync.Mutex
 	values := make(map[string][]byte, len(keys))
@@ -143,31 +144,31 @@
 	return values, err
 }
 
-// Watch waits for a value with a version above after. It reports false where
-// none came within the platform's waiting time. One call counts as one read, and
-// as one more where the platform was restored meanwhile: it then has no version
-// above, though its value may be another.
+// Watch waits for a value with a version above after. It returns false if there
+// was none within the wait time. A call counts as one read, and as two if the
+// platform was restored meanwhile: its version is then not above after, although
+// the value may differ, so that Watch reads it.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (Value, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait+watchSlack)
 	defer cancel()
-	known, number := plain(after)
+	knownEpoch, number := unpackVersion(after)
 	query := url.Values{
 		"after": {strconv.FormatUint(number, 10)},
 		"wait":  {c.wait.String()},
 	}
 	v, changed, err := c.read(ctx, watchPath+key+"?"+query.Encode())
-	if epoch, _ := plain(v.Version); err != nil || changed || epoch <= known {
+	if epoch, _ := unpackVersion(v.Version); err != nil || changed || epoch <= knownEpoch {
 		return v, changed, err
 	}
 	return c.read(ctx, configPath+key)
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) read(ctx context.Context, path string) (Value, bool, error) {
 	if err := c.limit.Wait(ctx); err != nil {
-		return Value{}, false, fmt.Errorf("%w: own limit: %v", ErrUnavailable, err)
+		return Value{}, false, fmt.Errorf("%w: client rate limit: %v", ErrUnavailable, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -186,7 +187,7 @@
 	case http.StatusOK:
 		return value(resp, epoch)
 	case http.StatusNotModified:
-		version, err := ordered(epoch, 0)
+		version, err := packVersion(epoch, 0)
 		return Value{Version: version}, false, err
 	case http.StatusNotFound:
 		return Value{}, false, fmt.Errorf("%w: %s", ErrNotFound, path)
@@ -200,7 +201,7 @@
 	if err != nil {
 		return Value{}, false, fmt.Errorf("%w: version: %v", ErrValue, err)
 	}
-	version, err := ordered(epoch, number)
+	version, err := packVersion(epoch, number)
 	if err != nil {
 		return Value{}, false, err
 	}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// maxRate is the calls a second that the platform takes from all readers,
-	// for the target's 330 nodes.
+	// maxRate is the number of calls per second that the platform accepts from
+	// all readers, at the target of 330 nodes.
 	maxRate     = 2000
 	targetNodes = 330
-	// watcherShare is the number of nodes for each watcher: two watchers in
-	// each of 19 availability zones of the target.
+	// watcherShare is the number of nodes per watcher: two watchers in each of
+	// the target's 19 availability zones.
 	watcherShare = 9
-	// fleetAccounts are few, for speed; more of them cost some more calls at
+	// fleetAccounts is small, for speed; more accounts cost some more calls at
 	// the start.
 	fleetAccounts = 100
-	// peerDelay is the time in which all nodes hear of a revision that a peer
-	// has, one after the other.
+	// peerDelay is the time within which a revision reaches all nodes from a peer,
+	// one after the other.
 	peerDelay = time.Second
 )
 
 var nodes = flag.Int("nodes", 66, "nodes of the fleet before one platform; the target has 330")
 
 type (
-	// readers is the readers of a whole fleet before one platform. What one of
-	// them reads reaches the caches of the others a little later, as by
-	// heartbeats.
+	// readers is the readers of a whole fleet with one platform. A revision that
+	// one of them reads reaches the caches of the others after a delay, as it
+	// would by heartbeats.
 	readers struct {
-		platform *fakePlatform
-		caches   []*platform.Cache
-		readers  []*platform.Reader
-		ctx      context.Context
-		running  sync.WaitGroup
-		mu       sync.Mutex
-		told     uint64
+		platform  *fakePlatform
+		caches    []*platform.Cache
+		readers   []*platform.Reader
+		ctx       context.Context
+		running   sync.WaitGroup
+		mu        sync.Mutex
+		published uint64
 	}
 
-	// readerSink passes a revision on to the other caches.
+	// readerSink forwards a revision to the other caches.
 	readerSink struct {
 		fleet *readers
 		from  *platform.Cache
@@ -75,10 +75,10 @@
 	f := s.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if accepted.Manifest.Revision <= f.told {
+	if accepted.Manifest.Revision <= f.published {
 		return
 	}
-	f.told = accepted.Manifest.Revision
+	f.published = accepted.Manifest.Revision
 	for i, c := range f.caches {
 		f.running.Go(func() {
 			select {
@@ -96,7 +96,7 @@
 		f.caches = append(f.caches, cache)
 		role := platform.Role{Watcher: i%watcherShare == 0}
 		f.readers = append(f.readers, platform.NewReader(platform.ReaderConfig{
-			Source: f.platform, Sink: readerSink{fleet: f, from: cache}, Cache: cache, Log: quiet(),
+			Source: f.platform, Sink: readerSink{fleet: f, from: cache}, Cache: cache, Log: discardLog(),
 			Role: func() platform.Role { return role },
 			Rand: seeded(uint64(i)),
 		}))
@@ -107,11 +107,10 @@
 	for _, r := range f.readers {
 		r.Close()
 	}
-	f.readers, f.caches, f.told = nil, nil, 0
+	f.readers, f.caches, f.published = nil, nil, 0
 }
 
-// rate lets time pass and returns the mean and the highest number of calls in a
-// second.
+// rate returns the mean and the highest number of calls per second during d.
 func (f *readers) rate(d time.Duration) (mean, highest int) {
 	first, _ := f.platform.cost()
 	last := first
@@ -124,10 +123,9 @@
 	return (last - first) / int(d/time.Second), highest
 }
 
-// TestFleetKeepsToThePlatformsRate prints the calls that the readers of the
-// fleet make together; -nodes=330 is the target's.
-//
-// Guards against this failure: the platform refuses readers, and changes are late everywhere.
+// TestFleetKeepsToThePlatformsRate logs the calls that all readers of the fleet
+// make together; -nodes=330 is the target. It guards against a call rate at which
+// the platform refuses readers, so that changes are late everywhere.
 func TestFleetKeepsToThePlatformsRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -163,7 +161,7 @@
 	})
 }
 
-// seeded returns the generator of one reader.
+// seeded returns a deterministic ReaderConfig.Rand.
 func seeded(seed uint64) func(time.Duration) time.Duration {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, seed))
--- a/internal/platform/instance.go
+++ b/internal/platform/instance.go
@@ -23,16 +23,16 @@
 		Leaving bool                `json:"leaving,omitempty"`
 	}
 
-	told struct {
+	versionedList struct {
 		Version   uint64     `json:"version"`
 		Instances []Instance `json:"instances"`
 	}
 )
 
-// ParseInstances reads an instance list. It returns ErrValue where the list is
-// not whole or names an instance twice. Fields that it does not know are left
-// out: the platform is not the fleet's to version, and a list that every node
-// refuses would blind the whole fleet.
+// ParseInstances decodes an instance list. It returns ErrValue if the list is
+// incomplete or names an instance twice. It ignores unknown fields: the fleet
+// does not control the platform's versions, and if every node refused the list,
+// the whole fleet would be without one.
 func ParseInstances(data []byte) ([]kernel.Instance, error) {
 	var entries []Instance
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -61,26 +61,26 @@
 	return list, nil
 }
 
-// EncodeList returns a list and its version as one node tells them to another.
+// EncodeList encodes a list and its version for transfer between nodes.
 func EncodeList(l kernel.Instances) ([]byte, error) {
-	told := told{Version: l.Version, Instances: make([]Instance, len(l.List))}
+	encoded := versionedList{Version: l.Version, Instances: make([]Instance, len(l.List))}
 	for i, instance := range l.List {
-		told.Instances[i] = Instance(instance)
+		encoded.Instances[i] = Instance(instance)
 	}
-	data, err := json.Marshal(told)
+	data, err := json.Marshal(encoded)
 	if err != nil {
 		return nil, fmt.Errorf("%w: instances: %v", ErrValue, err)
 	}
 	return data, nil
 }
 
-// ParseList reads what EncodeList returned. It returns ErrValue where that is
-// malformed.
+// ParseList decodes what EncodeList returned. It returns ErrValue if the data
+// is malformed.
 func ParseList(data []byte) (kernel.Instances, error) {
-	var told told
-	if err := json.Unmarshal(data, &told); err != nil {
+	var decoded versionedList
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return kernel.Instances{}, fmt.Errorf("%w: instances: %v", ErrValue, err)
 	}
-	list, err := checked(told.Instances)
-	return kernel.Instances{Version: told.Version, List: list}, err
+	list, err := checked(decoded.Instances)
+	return kernel.Instances{Version: decoded.Version, List: list}, err
 }
--- a/internal/platform/reader.go
+++ b/internal/platform/reader.go
@@ -16,10 +16,9 @@
 
 // Defaults of a ReaderConfig.
 const (
-	// DefaultPoll is the time between two plain readings of a watcher.
+	// DefaultPoll is the interval at which a watcher reads without watching.
 	DefaultPoll = 20 * time.Second
-	// DefaultCheck is the time between two readings of a node that is no
-	// watcher.
+	// DefaultCheck is the read interval of a node that is not a watcher.
 	DefaultCheck = time.Minute
 
 	joinTimeout = 2 * time.Second
@@ -33,17 +32,17 @@
 		Watch(ctx context.Context, key string, after uint64) (Value, bool, error)
 	}
 
-	// Sink takes what was read.
+	// Sink receives what was read.
 	Sink interface {
 		Offer(ev kernel.Event)
 	}
 
-	// Role is what the fleet expects of the reader now.
+	// Role is the reader's current role in the fleet.
 	Role struct {
-		// Watcher says that the node holds waiting watches; others hear of
-		// changes from their peers and check rarely.
+		// Watcher is set if the node watches the platform; other nodes receive
+		// changes from their peers and read rarely.
 		Watcher bool
-		// Heard is the newest version of the instance list of which peers told,
+		// Heard is the newest version of the instance list that peers reported,
 		// Listed the version that the node has.
 		Heard  uint64
 		Listed uint64
@@ -53,29 +52,30 @@
 	ReaderConfig struct {
 		Source Source
 		Sink   Sink
-		// Cache takes accepted records.
+		// Cache holds accepted records.
 		Cache *Cache
 		Log   logrus.FieldLogger
-		// Role returns the node's role; nil is always a watcher's.
+		// Role returns the node's role; nil means always a watcher.
 		Role func() Role
-		// Join are nodes that tell the instance list to one that starts while
-		// the platform does not answer.
+		// Join are the peers from which the reader takes the instance list if the
+		// platform does not answer when the node starts.
 		Join []Getter
-		// Reread asks for new readings at once; nil never does.
+		// Reread requests an immediate read of all keys; nil never does.
 		Reread <-chan struct{}
-		// Poll and Check are 0 for their defaults; both are jittered.
+		// Poll and Check are the read intervals of a watcher and of other nodes,
+		// before jitter; 0 is DefaultPoll and DefaultCheck.
 		Poll  time.Duration
 		Check time.Duration
-		// Rand returns a random time below the given one; it is safe for
-		// concurrent use. Nil is the process's own generator.
+		// Rand returns a random time below the given one and is safe for
+		// concurrent use; nil is math/rand/v2.
 		Rand func(time.Duration) time.Duration
-		// Meter counts readings; nil counts none.
+		// Meter counts reads; nil counts none.
 		Meter Meter
 	}
 
-	// Reader follows what the platform publishes and offers it to a Sink. While
-	// the platform does not answer it tries again with growing, jittered pauses
-	// and the node carries on with what it last knew.
+	// Reader follows the platform's keys and offers new values to a Sink. While
+	// the platform does not answer, it retries with exponential, jittered delays
+	// and the node continues with the last known values.
 	Reader struct {
 		config   ReaderConfig
 		cancel   context.CancelFunc
@@ -87,7 +87,7 @@
 	noMeter struct{}
 )
 
-// NewReader starts reading. Zero settings take their defaults.
+// NewReader starts a Reader. Zero settings take their defaults.
 func NewReader(c ReaderConfig) *Reader {
 	if c.Role == nil {
 		c.Role = func() Role { return Role{Watcher: true} }
@@ -112,8 +112,8 @@
 		t.status = r.statuses.add(t.key)
 		r.done.Go(func() { t.follow(ctx) })
 	}
-	follow(&topic{key: KeyInstances, take: r.instances, heard: r.missed, older: r.olderList, join: r.join})
-	follow(&topic{key: KeyAccepted, take: r.accepted, heard: none, older: r.olderRecord, signed: true})
+	follow(&topic{key: KeyInstances, take: r.takeInstances, reported: r.missingList, older: r.olderList, join: r.join})
+	follow(&topic{key: KeyAccepted, take: r.takeAccepted, reported: noVersion, older: r.olderRecord, hasRevision: true})
 	return r
 }
 
@@ -126,7 +126,7 @@
 	r.done.Wait()
 }
 
-func (r *Reader) instances(_ context.Context, v Value) error {
+func (r *Reader) takeInstances(_ context.Context, v Value) error {
 	list, err := ParseInstances(v.Data)
 	if err != nil {
 		return err
@@ -135,9 +135,10 @@
 	return nil
 }
 
-// accepted reads what an accepted record names and offers it whole.
-func (r *Reader) accepted(ctx context.Context, v Value) error {
-	m, err := r.config.Cache.Take(ctx, v.Data, patient{reader: r})
+// takeAccepted reads the values that an accepted record refers to and offers the
+// complete manifest.
+func (r *Reader) takeAccepted(ctx context.Context, v Value) error {
+	m, err := r.config.Cache.Take(ctx, v.Data, peersFirst{reader: r})
 	if errors.Is(err, errDelivered) {
 		return nil
 	}
@@ -150,12 +151,12 @@
 	return nil
 }
 
-// join takes the instance list from a node, in random order until one tells it,
-// and returns its version.
+// join takes the instance list from a peer and returns its version, 0 if no peer
+// has it. It tries the peers in random order.
 //
-// A node that starts while the platform is down knows no other node, and would
-// serve nothing until the platform is back, which may be hours; the fleet would
-// shrink with every instance that is replaced meanwhile.
+// A node that starts while the platform is down knows no other node and would
+// serve nothing until the platform is back, which may take hours; the fleet
+// would shrink with every instance that is replaced meanwhile.
 func (r *Reader) join(ctx context.Context) uint64 {
 	for _, i := range rand.Perm(len(r.config.Join)) {
 		l, err := listFrom(ctx, r.config.Join[i])
@@ -164,7 +165,7 @@
 			r.config.Sink.Offer(l)
 			return l.Version
 		}
-		r.config.Log.WithError(err).Warn("no instance list from a peer to join")
+		r.config.Log.WithError(err).Warn("cannot read the instance list from a peer")
 	}
 	return 0
 }
@@ -183,9 +184,9 @@
 	return ParseList(data)
 }
 
-// missed returns the version of the instance list that the node heard of but
-// does not have; 0 is none.
-func (r *Reader) missed() uint64 {
+// missingList returns the version of the instance list that peers reported but
+// the node does not have; 0 is none.
+func (r *Reader) missingList() uint64 {
 	role := r.config.Role()
 	if role.Heard <= role.Listed {
 		return 0
@@ -203,6 +204,6 @@
 	return err == nil && record.Revision < r.config.Cache.Revision()
 }
 
-func none() uint64 { return 0 }
+func noVersion() uint64 { return 0 }
 
 func (noMeter) PlatformRead(string, error) {}
--- a/internal/platform/reader_test.go
+++ b/internal/platform/reader_test.go
@@ -22,28 +22,29 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// inForce is the time in which a change must come into force everywhere.
-const inForce = 4 * time.Second
+// applyTimeout is the time within which every node must apply a change.
+const applyTimeout = 4 * time.Second
 
-// started is when a node without peers has read even a large configuration.
-const started = 10 * time.Second
+// startTimeout is the time within which a node without peers reads even a large
+// configuration.
+const startTimeout = 10 * time.Second
 
 type (
-	// fakePlatform is a Source whose faults a test sets. Its watches wait as
-	// long as a Client's.
+	// fakePlatform is a Source with settable faults. Its watches wait as long as
+	// a Client's.
 	fakePlatform struct {
 		mu      sync.Mutex
 		changed chan struct{}
 		values  map[string]platform.Value
 		fail    error
-		// blind makes watches answer that nothing changed.
-		blind bool
-		delay time.Duration
-		reads int
-		bytes int
+		// watchStuck makes watches answer that nothing changed.
+		watchStuck bool
+		delay      time.Duration
+		reads      int
+		bytes      int
 	}
 
-	// fakeSink keeps what was offered.
+	// fakeSink records the offered revisions and list versions.
 	fakeSink struct {
 		mu        sync.Mutex
 		revisions []uint64
@@ -96,12 +97,12 @@
 	f.mu.Unlock()
 	for {
 		f.mu.Lock()
-		v, changed, fail, blind := f.values[key], f.changed, f.fail, f.blind
+		v, changed, fail, stuck := f.values[key], f.changed, f.fail, f.watchStuck
 		f.mu.Unlock()
 		if fail != nil {
 			return platform.Value{}, false, fail
 		}
-		if v.Version > after && !blind {
+		if v.Version > after && !stuck {
 			f.change(func() { f.bytes += len(v.Data) })
 			return v, true, nil
 		}
@@ -209,18 +210,18 @@
 	return platform.NewCache(platform.CacheConfig{Operators: []ed25519.PublicKey{public}})
 }
 
-func quiet() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// within runs a test in virtual time with a reader on a fake platform.
-func within(t *testing.T, c platform.ReaderConfig, test func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader)) {
+// runReader runs a test in virtual time with a reader on a fake platform.
+func runReader(t *testing.T, c platform.ReaderConfig, test func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFakePlatform(), &fakeSink{}
-		c.Source, c.Sink, c.Log, c.Rand = f, s, quiet(), seeded(0)
+		c.Source, c.Sink, c.Log, c.Rand = f, s, discardLog(), seeded(0)
 		if c.Cache == nil {
 			c.Cache = newCache()
 		}
@@ -245,13 +246,13 @@
 	require.Equal(t, want, got)
 }
 
-func TestReaderPutsOnlyAcceptedRevisionsInForce(t *testing.T) {
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+func TestReaderAppliesOnlyAcceptedRevisions(t *testing.T) {
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		f.propose(t, sample(1, 3))
 		time.Sleep(time.Minute)
 		requireRevisions(t, s)
 		f.accept(t, sample(1, 3))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		requireRevisions(t, s, 1)
 	})
 }
@@ -278,15 +279,15 @@
 		{"nothing", func(manifest.Parts) []byte { return nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+			runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 				f.accept(t, sample(5, 3))
-				time.Sleep(inForce)
+				time.Sleep(applyTimeout)
 				f.set(platform.KeyAccepted, c.record(f.propose(t, sample(6, 3))))
 				time.Sleep(time.Minute)
 				requireRevisions(t, s, 5)
 				require.NotEmpty(t, status(r, platform.KeyAccepted).Refused)
 				f.accept(t, sample(7, 3))
-				time.Sleep(inForce)
+				time.Sleep(applyTimeout)
 				requireRevisions(t, s, 5, 7)
 				require.Empty(t, status(r, platform.KeyAccepted).Refused)
 			})
@@ -294,17 +295,18 @@
 	}
 }
 
-func TestReaderNeverGoesBack(t *testing.T) {
-	// Guards against this failure: settings that operators changed revert, and come again.
-	within(t, platform.ReaderConfig{Poll: time.Second}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+func TestReaderNeverRevertsRevision(t *testing.T) {
+	// Guards against changed settings that revert and reappear when the
+	// platform's replicas return old and new records in turn.
+	runReader(t, platform.ReaderConfig{Poll: time.Second}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 		f.accept(t, sample(5, 3))
 		old := f.values[platform.KeyAccepted]
 		f.accept(t, sample(6, 3))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		newest := f.values[platform.KeyAccepted]
 		for i := range uint64(20) {
 			f.put(platform.KeyAccepted, []platform.Value{old, newest, {Version: newest.Version + i, Data: old.Data}}[i%3])
-			time.Sleep(inForce)
+			time.Sleep(applyTimeout)
 		}
 		revisions, _ := s.got()
 		require.Equal(t, uint64(6), revisions[len(revisions)-1])
@@ -312,32 +314,33 @@
 			require.Greater(t, revisions[i], revisions[i-1])
 		}
 		f.put(platform.KeyAccepted, platform.Value{Version: 1, Data: old.Data})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		require.True(t, status(r, platform.KeyAccepted).Behind)
 	})
 }
 
 func TestReaderKeepsTheNewestList(t *testing.T) {
-	within(t, platform.ReaderConfig{Poll: time.Second}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+	runReader(t, platform.ReaderConfig{Poll: time.Second}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		list := []byte(`[{"name":"n1","kind":"node","zone":"a","addr":"127.0.0.1:1","peer":"127.0.0.1:2"}]`)
 		for _, version := range []uint64{3, 2, 4, 3, 4, 1, 5} {
 			f.put(platform.KeyInstances, platform.Value{Version: version, Data: list})
-			time.Sleep(inForce)
+			time.Sleep(applyTimeout)
 		}
 		for i, bad := range [][]byte{list[:len(list)/2], []byte("[{}]"), []byte("null and more"), {}} {
 			f.put(platform.KeyInstances, platform.Value{Version: uint64(6 + i), Data: bad})
-			time.Sleep(inForce)
+			time.Sleep(applyTimeout)
 		}
 		_, lists := s.got()
 		require.Equal(t, []uint64{3, 4, 5}, lists)
 	})
 }
 
-func TestReaderKeepsItsListWhileThePlatformIsStaleForLong(t *testing.T) {
-	// Guards against this failure: endpoints that joined vanish, those that left come back.
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+func TestReaderKeepsListWhilePlatformIsStale(t *testing.T) {
+	// Guards against an old list that removes endpoints that joined and brings
+	// back those that left.
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 		f.put(platform.KeyInstances, platform.Value{Version: 9, Data: []byte(`[]`)})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		f.put(platform.KeyInstances, platform.Value{Version: 7, Data: []byte(`[]`)})
 		time.Sleep(time.Hour)
 		_, lists := s.got()
@@ -345,7 +348,7 @@
 		require.Equal(t, uint64(9), status(r, platform.KeyInstances).Version)
 		require.True(t, status(r, platform.KeyInstances).Behind)
 		f.put(platform.KeyInstances, platform.Value{Version: 10, Data: []byte(`[]`)})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		_, lists = s.got()
 		require.Equal(t, []uint64{9, 10}, lists)
 	})
@@ -353,29 +356,29 @@
 
 func TestReaderTakesTheListFromPeersAtTheStart(t *testing.T) {
 	list := []kernel.Instance{{Name: "n1", Kind: kernel.KindNode, Addr: netip.MustParseAddrPort("127.0.0.1:1")}}
-	told, err := platform.EncodeList(kernel.Instances{Version: 5, List: list})
+	encoded, err := platform.EncodeList(kernel.Instances{Version: 5, List: list})
 	require.NoError(t, err)
-	deaf, broken, peer := newFakePlatform(), newFakePlatform(), newFakePlatform()
-	deaf.fail = platform.ErrUnavailable
-	broken.set(platform.KeyInstances, told[:len(told)/2])
-	peer.set(platform.KeyInstances, told)
-	c := platform.ReaderConfig{Join: []platform.Getter{deaf, broken, peer}}
-	within(t, c, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+	down, broken, peer := newFakePlatform(), newFakePlatform(), newFakePlatform()
+	down.fail = platform.ErrUnavailable
+	broken.set(platform.KeyInstances, encoded[:len(encoded)/2])
+	peer.set(platform.KeyInstances, encoded)
+	c := platform.ReaderConfig{Join: []platform.Getter{down, broken, peer}}
+	runReader(t, c, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		f.change(func() { f.fail = platform.ErrUnavailable })
 		time.Sleep(time.Minute)
 		_, lists := s.got()
 		require.Equal(t, []uint64{5}, lists)
 		f.change(func() { f.fail = nil })
 		f.put(platform.KeyInstances, platform.Value{Version: 4, Data: []byte(`[]`)})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		f.put(platform.KeyInstances, platform.Value{Version: 6, Data: []byte(`[]`)})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		_, lists = s.got()
 		require.Equal(t, []uint64{5, 6}, lists)
 	})
-	// Nobody is asked while the platform answers.
+	// No peer is asked while the platform answers.
 	before, _ := peer.cost()
-	within(t, c, func(_ *testing.T, f *fakePlatform, _ *fakeSink, _ *platform.Reader) {
+	runReader(t, c, func(_ *testing.T, f *fakePlatform, _ *fakeSink, _ *platform.Reader) {
 		f.set(platform.KeyInstances, []byte(`[]`))
 		time.Sleep(time.Minute)
 	})
@@ -383,29 +386,30 @@
 	require.Equal(t, before, after)
 }
 
-func TestReaderThatIsNoWatcherReadsAnewWhenAsked(t *testing.T) {
+func TestNonWatcherRereadsOnRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := make(chan struct{}, 1)
+		reread := make(chan struct{}, 1)
 		f, s := newFakePlatform(), &fakeSink{}
 		r := platform.NewReader(platform.ReaderConfig{
-			Source: f, Sink: s, Log: quiet(), Cache: newCache(), Reread: asked, Rand: seeded(0),
+			Source: f, Sink: s, Log: discardLog(), Cache: newCache(), Reread: reread, Rand: seeded(0),
 			Role: func() platform.Role { return platform.Role{} },
 		})
 		defer r.Close()
 		f.accept(t, sample(1, 3))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		f.accept(t, sample(2, 3))
-		asked <- struct{}{}
+		reread <- struct{}{}
 		time.Sleep(time.Second)
 		requireRevisions(t, s, 1, 2)
 	})
 }
 
-func TestReaderWaitsForHalfPublishedSections(t *testing.T) {
-	// Guards against this failure: a node runs with new services and old accounts.
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+func TestReaderWaitsForCompleteSections(t *testing.T) {
+	// Guards against a node that runs with new services and old accounts because
+	// a record was published before all of its sections were complete.
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 		f.accept(t, sample(1, 100))
-		time.Sleep(started)
+		time.Sleep(startTimeout)
 		requireRevisions(t, s, 1)
 		parts := split(t, sample(2, 100))
 		root, err := manifest.ParseRoot(parts.Values[parts.Digest])
@@ -430,10 +434,10 @@
 	})
 }
 
-func TestReaderCarriesOnWhileThePlatformIsDown(t *testing.T) {
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+func TestReaderRecoversFromPlatformOutage(t *testing.T) {
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 		f.accept(t, sample(1, 3))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		f.change(func() { f.fail = platform.ErrUnavailable })
 		f.accept(t, sample(2, 3))
 		before, _ := f.cost()
@@ -445,25 +449,26 @@
 		require.Contains(t, status(r, platform.KeyAccepted).Error, "unavailable")
 		require.Less(t, float64(after-before)/outage.Seconds(), 2.0, "reads a second while down")
 		f.change(func() { f.fail = nil })
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		requireRevisions(t, s, 1, 2)
 		require.Zero(t, status(r, platform.KeyAccepted).Failures)
 	})
 }
 
-func TestReaderFindsChangesWhoseWatchWasLost(t *testing.T) {
-	// Guards against this failure: one node never hears of a change.
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+func TestReaderFindsChangesMissedByWatch(t *testing.T) {
+	// Guards against a node that never sees a change because the platform lost
+	// its watch.
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		f.accept(t, sample(1, 3))
-		time.Sleep(inForce)
-		f.change(func() { f.blind = true })
+		time.Sleep(applyTimeout)
+		f.change(func() { f.watchStuck = true })
 		f.accept(t, sample(2, 3))
 		time.Sleep(2 * platform.DefaultPoll)
 		requireRevisions(t, s, 1, 2)
 	})
 }
 
-func TestReaderThatIsNoWatcherReadsRarely(t *testing.T) {
+func TestNonWatcherReadsRarely(t *testing.T) {
 	role := platform.Role{}
 	var mu sync.Mutex
 	c := platform.ReaderConfig{Role: func() platform.Role {
@@ -471,11 +476,11 @@
 		defer mu.Unlock()
 		return role
 	}}
-	within(t, c, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
+	runReader(t, c, func(t *testing.T, f *fakePlatform, s *fakeSink, r *platform.Reader) {
 		list := []byte(`[]`)
 		f.set(platform.KeyInstances, list)
 		f.accept(t, sample(1, 3))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		requireRevisions(t, s, 1)
 		before, _ := f.cost()
 		time.Sleep(time.Hour)
@@ -485,7 +490,7 @@
 		mu.Lock()
 		role.Heard = 2
 		mu.Unlock()
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		require.Equal(t, uint64(2), status(r, platform.KeyInstances).Version)
 		mu.Lock()
 		role.Watcher = true
@@ -497,10 +502,11 @@
 	})
 }
 
-func TestReaderLetsPeersDeliverMany(t *testing.T) {
-	// Guards against this failure: after a region's restart the platform refuses all readers.
+func TestReaderPrefersPeersForManyValues(t *testing.T) {
+	// Guards against a platform that refuses all readers after a region's restart,
+	// because every node reads every section.
 	cache := newCache()
-	within(t, platform.ReaderConfig{Cache: cache}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+	runReader(t, platform.ReaderConfig{Cache: cache}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		peer := newFakePlatform()
 		peer.accept(t, sample(1, 1600))
 		f.accept(t, sample(1, 1600))
@@ -508,26 +514,28 @@
 		m, err := cache.Fetch(t.Context(), peer)
 		require.NoError(t, err)
 		require.Equal(t, uint64(1), m.Revision)
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		reads, _ := f.cost()
 		require.Less(t, reads, 10)
 		requireRevisions(t, s)
 	})
-	within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+	runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 		f.accept(t, sample(1, 1600))
-		time.Sleep(started)
+		time.Sleep(startTimeout)
 		requireRevisions(t, s, 1)
-		// Every shard changes; a running node does not wait as long.
+		// Every shard of accounts changes; a running node waits less than a
+		// starting one.
 		f.accept(t, sample(2, 1600))
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		requireRevisions(t, s, 1, 2)
 	})
 }
 
-func TestReaderIsNotHeldUpBySlowSections(t *testing.T) {
-	// Guards against this failure: a change is late on one node although its peers have it.
+func TestSlowSectionsDoNotBlockPeerDelivery(t *testing.T) {
+	// Guards against a change that is late on one node although its peers have it,
+	// because the node is blocked on a slow read from the platform.
 	cache := newCache()
-	within(t, platform.ReaderConfig{Cache: cache}, func(t *testing.T, f *fakePlatform, _ *fakeSink, _ *platform.Reader) {
+	runReader(t, platform.ReaderConfig{Cache: cache}, func(t *testing.T, f *fakePlatform, _ *fakeSink, _ *platform.Reader) {
 		f.change(func() { f.delay = time.Hour })
 		f.accept(t, sample(1, 3))
 		time.Sleep(time.Second)
@@ -574,10 +582,10 @@
 
 func TestOneChangeCostsFewReadsAndBytes(t *testing.T) {
 	for _, accounts := range []int{10, 160, 1600} {
-		within(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
+		runReader(t, platform.ReaderConfig{}, func(t *testing.T, f *fakePlatform, s *fakeSink, _ *platform.Reader) {
 			m := sample(1, accounts)
 			f.accept(t, m)
-			time.Sleep(started - platform.DefaultWait/2)
+			time.Sleep(startTimeout - platform.DefaultWait/2)
 			startReads, startBytes := f.cost()
 			m.Revision = 2
 			m.Accounts[0].Rate++
@@ -592,7 +600,7 @@
 	}
 }
 
-// BenchmarkCacheMemory prints the memory that a node holds for the
+// BenchmarkCacheMemory reports the memory that a node uses for the
 // configuration: values, manifest and index.
 func BenchmarkCacheMemory(b *testing.B) {
 	for _, accounts := range []int{10, 160, 1600} {
--- a/internal/platform/reread.go
+++ b/internal/platform/reread.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// rereads tells topics to read plainly now. A process that was paused may hold
-// a watch whose connection has long been dropped, and would otherwise wait for
-// its end.
+// rereads signals topics to read with Get now instead of watching. A process
+// that was paused may hold a watch whose connection was dropped long ago, and
+// would otherwise wait until the watch ends.
 type rereads struct {
 	mu sync.Mutex
-	// next is closed at the next call.
+	// next is closed by the next trigger.
 	next chan struct{}
 }
 
 func newRereads() *rereads { return &rereads{next: make(chan struct{})} }
 
-// call ends the waiting watches and makes every topic read.
-func (r *rereads) call() {
+// trigger cancels watches in progress and makes every topic read.
+func (r *rereads) trigger() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(r.next)
@@ -30,25 +30,25 @@
 	return r.next
 }
 
-// follow calls whenever asked to.
-func (r *rereads) follow(ctx context.Context, asked <-chan struct{}) {
+// follow calls trigger for each request until ctx ends.
+func (r *rereads) follow(ctx context.Context, requests <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
-			r.call()
+		case <-requests:
+			r.trigger()
 		}
 	}
 }
 
-// until returns a context that also ends at the next call.
-func until(ctx context.Context, called <-chan struct{}) (context.Context, context.CancelFunc) {
+// cancelOn returns a context that is also canceled when signal is closed.
+func cancelOn(ctx context.Context, signal <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
 		case <-ctx.Done():
-		case <-called:
+		case <-signal:
 			cancel()
 		}
 	}()
--- a/internal/platform/restore_test.go
+++ b/internal/platform/restore_test.go
@@ -15,14 +15,14 @@
 	"bulrushhinge.example/bulrushhinge/internal/standin"
 )
 
-// lists keeps the newest instance list that was offered.
-type lists struct {
+// listSink keeps the newest instance list that was offered.
+type listSink struct {
 	mu     sync.Mutex
 	newest kernel.Instances
 }
 
 // Offer implements platform.Sink.
-func (l *lists) Offer(ev kernel.Event) {
+func (l *listSink) Offer(ev kernel.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if list, ok := ev.(kernel.Instances); ok && list.Version > l.newest.Version {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (l *lists) names() (names []string) {
+func (l *listSink) names() (names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, i := range l.newest.List {
@@ -39,12 +39,12 @@
 	return names
 }
 
-// Guards against a list that is never taken since the restored platform gave its
-// version out before.
-func TestListOfARestoredPlatformIsTaken(t *testing.T) {
+// Guards against a list that is never applied because a platform restored from a
+// backup reuses a version number.
+func TestReaderTakesListAfterPlatformRestore(t *testing.T) {
 	const lost = 3
-	for again := 1; again <= lost+1; again++ {
-		t.Run(fmt.Sprintf("%d lost, %d written since", lost, again), func(t *testing.T) {
+	for rewritten := 1; rewritten <= lost+1; rewritten++ {
+		t.Run(fmt.Sprintf("%d lost, %d written since", lost, rewritten), func(t *testing.T) {
 			p := standin.NewPlatform()
 			set := func(name string) {
 				p.Set(platform.KeyInstances, fmt.Appendf(nil, `[{"name":%q,"kind":"node","zone":"a","addr":"127.0.0.1:1","peer":"127.0.0.1:2"}]`, name))
@@ -53,27 +53,27 @@
 			defer served.Close()
 			client := platform.NewClient(platform.ClientConfig{Addr: netip.MustParseAddrPort(served.Listener.Addr().String()), Wait: 100 * time.Millisecond})
 			defer client.Close()
-			sink := &lists{}
-			r := platform.NewReader(platform.ReaderConfig{Source: client, Sink: sink, Log: quiet(), Cache: newCache()})
+			sink := &listSink{}
+			r := platform.NewReader(platform.ReaderConfig{Source: client, Sink: sink, Log: discardLog(), Cache: newCache()})
 			defer r.Close()
-			has := func(name string) {
+			requireList := func(name string) {
 				require.Eventually(t, func() bool {
 					names := sink.names()
 					return len(names) == 1 && names[0] == name
 				}, 30*time.Second, time.Millisecond, name)
 			}
 			set("copied")
-			has("copied")
+			requireList("copied")
 			copied := time.Now()
 			for n := range lost {
 				set(fmt.Sprint("lost", n))
 			}
-			has(fmt.Sprint("lost", lost-1))
+			requireList(fmt.Sprint("lost", lost-1))
 			p.Restore(copied)
-			for n := range again {
+			for n := range rewritten {
 				set(fmt.Sprint("again", n))
 			}
-			has(fmt.Sprint("again", again-1))
+			requireList(fmt.Sprint("again", rewritten-1))
 		})
 	}
 }
--- a/internal/platform/status.go
+++ b/internal/platform/status.go
@@ -6,29 +6,29 @@
 )
 
 type (
-	// Status is what a Reader knows of one key, for operators.
+	// Status is the state of one key that a Reader follows, for operators.
 	Status struct {
 		Key string `json:"key"`
-		// Version is the newest version that was taken.
+		// Version is the newest version that was applied.
 		Version uint64 `json:"version"`
-		// Answered is when the platform last answered; zero where it never did.
+		// Answered is when the platform last answered; zero if it never did.
 		Answered time.Time `json:"answered,omitzero"`
-		// Changed is when a new version was last taken.
+		// Changed is when a new version was last applied.
 		Changed time.Time `json:"changed,omitzero"`
-		// Failures is the number of failed readings since the last good one.
+		// Failures is the number of failed reads since the last successful one.
 		Failures int `json:"failures"`
-		// Error is the last failure; empty once a reading was good again.
+		// Error is the last failure; empty after a successful read.
 		Error string `json:"error,omitempty"`
-		// Refused says why the newest value is not used; empty where it is.
+		// Refused is why the newest value is not used; empty if it is.
 		Refused string `json:"refused,omitempty"`
-		// Behind is set where the platform last showed an older state than the
+		// Behind is set if the platform last returned an older state than the
 		// node has.
 		Behind bool `json:"behind"`
 	}
 
-	// Meter counts readings, for operators.
+	// Meter counts reads, for operators.
 	Meter interface {
-		// PlatformRead counts one reading of a key and its error, nil for none.
+		// PlatformRead counts one read of a key and its error, nil for none.
 		PlatformRead(key string, err error)
 	}
 
--- a/internal/platform/topic.go
+++ b/internal/platform/topic.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	retryFirst = 100 * time.Millisecond
-	retryLast  = 2 * time.Second
-	// retryValue is the time until a value that could not be read is read
-	// again, unless it changes before.
-	retryValue = 2 * time.Second
-	// glance is how often a node that is no watcher looks whether it became
-	// one or heard of a newer list.
-	glance = 250 * time.Millisecond
+	minRetry = 100 * time.Millisecond
+	maxRetry = 2 * time.Second
+	// retryBadValue is the delay before an invalid value is read again, unless
+	// it changes earlier.
+	retryBadValue = 2 * time.Second
+	// rolePoll is the interval at which a node that is not a watcher checks
+	// whether it became one or peers reported a newer list.
+	rolePoll = 250 * time.Millisecond
 )
 
 // topic is one key that a Reader follows.
@@ -23,40 +23,42 @@
 	status *Status
 	key    string
 	take   func(context.Context, Value) error
-	// heard returns the newest version that peers told of.
-	heard func() uint64
+	// reported returns the newest version that peers reported and the node lacks,
+	// 0 for none.
+	reported func() uint64
 	// older reports whether a value is older than what the node has.
 	older func(v Value) bool
 	// join takes the value from a peer and returns its version, 0 for none; nil
-	// where peers are not asked.
+	// if peers are not asked.
 	join func(ctx context.Context) uint64
-	// signed says that the value itself tells new from old.
-	signed bool
-	// version is that of the newest value taken, seen that of the newest value
-	// read.
+	// hasRevision is set if the value contains its own revision, by which its age
+	// is known without the platform's version.
+	hasRevision bool
+	// version is the version of the newest value applied, seen that of the newest
+	// value read.
 	version uint64
 	seen    uint64
-	// plain is when the next plain reading is due.
-	plain  time.Time
-	read   time.Time
-	failed bool
-	// called is closed when a new reading is asked for.
-	called <-chan struct{}
+	// nextRead is when the next Get is due, lastRead when the last one was.
+	nextRead time.Time
+	lastRead time.Time
+	failed   bool
+	// rereadSignal is closed when a reread is requested.
+	rereadSignal <-chan struct{}
 }
 
 func (t *topic) follow(ctx context.Context) {
-	pause := retryFirst
+	pause := minRetry
 	for ctx.Err() == nil {
-		read, err := t.next(ctx)
+		read, err := t.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if !read {
 			continue
 		}
-		t.note(err)
+		t.recordResult(err)
 		if err == nil {
-			pause = retryFirst
+			pause = minRetry
 			continue
 		}
 		if t.join != nil && t.version == 0 {
@@ -64,32 +66,32 @@
 			t.seen = max(t.seen, t.version)
 		}
 		sleep(ctx, t.reader.jitter(pause))
-		pause = min(2*pause, retryLast)
+		pause = min(2*pause, maxRetry)
 	}
 }
 
-// next reads the value once, by the way that the node's role asks for, and
-// takes it where it is new. It reports false where nothing was due.
-func (t *topic) next(ctx context.Context) (bool, error) {
+// readOnce reads the value once, with Get or Watch as due and by the node's role,
+// and applies it if it is new. It returns false if it read nothing.
+func (t *topic) readOnce(ctx context.Context) (bool, error) {
 	source, role := t.reader.config.Source, t.reader.config.Role()
-	called := t.reader.rereads.channel()
-	if t.called != nil && t.called != called {
-		t.plain = time.Now()
+	signal := t.reader.rereads.channel()
+	if t.rereadSignal != nil && t.rereadSignal != signal {
+		t.nextRead = time.Now()
 	}
-	t.called = called
+	t.rereadSignal = signal
 	switch {
 	case t.due(role):
 		v, err := source.Get(ctx, t.key)
 		if err != nil {
-			t.plain = time.Now()
+			t.nextRead = time.Now()
 			return true, err
 		}
 		return true, t.apply(ctx, v)
 	case !role.Watcher:
-		sleep(ctx, t.reader.jitter(glance))
+		sleep(ctx, t.reader.jitter(rolePoll))
 		return false, nil
 	default:
-		waiting, cancel := until(ctx, called)
+		waiting, cancel := cancelOn(ctx, signal)
 		defer cancel()
 		v, changed, err := source.Watch(waiting, t.key, t.seen)
 		if waiting.Err() != nil && ctx.Err() == nil {
@@ -102,39 +104,39 @@
 	}
 }
 
-// due reports whether it is time for a plain reading, and sets the time of the
-// next.
+// due reports whether the node should read with Get, and schedules the next such
+// read.
 //
 // A platform may lose a watch and answer each new one with "no change"; a node
-// that only watched would never hear of the change. Every node therefore reads
-// plainly now and then. One that is no watcher also does when peers tell of a
-// newer version.
+// that only watched would never see the change. Every node therefore uses Get
+// from time to time. A node that is not a watcher also does so when peers report
+// a newer version.
 func (t *topic) due(role Role) bool {
 	now := time.Now()
 	period := t.reader.config.Poll
 	if !role.Watcher {
 		period = t.reader.config.Check
 	}
-	first := t.plain.IsZero()
-	late := !role.Watcher && t.heard() > t.seen && now.Sub(t.read) >= retryLast
-	if !first && !late && now.Before(t.plain) {
+	first := t.nextRead.IsZero()
+	newer := !role.Watcher && t.reported() > t.seen && now.Sub(t.lastRead) >= maxRetry
+	if !first && !newer && now.Before(t.nextRead) {
 		return false
 	}
-	t.plain = now.Add(t.reader.jitter(period))
-	t.read = now
+	t.nextRead = now.Add(t.reader.jitter(period))
+	t.lastRead = now
 	return !first || !role.Watcher
 }
 
-// apply takes a value that is newer than the last one. A platform whose
-// replicas disagree shows old and new in turn, and one that is stale shows the
-// old for long; an older list would bring back instances that are gone and drop
-// those that joined. Only the newest counts. An accepted record tells its own
-// age, so that one counts also where the platform began to number its values
-// anew.
+// apply takes a value that is newer than the last one and ignores others. A
+// platform whose replicas disagree returns old and new values in turn, and a
+// stale one returns old values for long; an older list would bring back instances
+// that have left and drop those that joined. An accepted record contains its own
+// revision and is therefore also taken if the platform has restarted its version
+// numbers.
 func (t *topic) apply(ctx context.Context, v Value) error {
-	behind := t.older(v) || v.Version < t.version && !t.signed
+	behind := t.older(v) || v.Version < t.version && !t.hasRevision
 	t.reader.statuses.update(func() { t.status.Behind = behind })
-	if v.Version == t.version || v.Version < t.version && !t.signed {
+	if v.Version == t.version || v.Version < t.version && !t.hasRevision {
 		return nil
 	}
 	err := t.take(ctx, v)
@@ -154,18 +156,19 @@
 	return nil
 }
 
-// refuse notes a value that cannot be used. The watch goes on to the next
-// version; the value is read again later, since only half of it may have come.
+// refuse records a value that cannot be used. The watch continues with the next
+// version; the value is read again later, since only a part of it may have been
+// published or received.
 func (t *topic) refuse(v Value, err error) {
 	t.seen = max(t.seen, v.Version)
-	t.plain = time.Now().Add(t.reader.jitter(retryValue))
+	t.nextRead = time.Now().Add(t.reader.jitter(retryBadValue))
 	t.reader.statuses.update(func() { t.status.Refused = err.Error() })
 }
 
-// note keeps what came of a reading. Only the first failure and the end of
-// failures are logged, so that a platform that is down for long does not fill
-// the log.
-func (t *topic) note(err error) {
+// recordResult updates the status after a read. It logs only the first of a run
+// of failures and the recovery, so that a long outage of the platform does not
+// fill the log.
+func (t *topic) recordResult(err error) {
 	t.reader.config.Meter.PlatformRead(t.key, err)
 	log := t.reader.config.Log.WithField("key", t.key)
 	t.reader.statuses.update(func() {
@@ -180,9 +183,9 @@
 	})
 	switch {
 	case err != nil && !t.failed:
-		log.WithError(err).Warn("platform read failed; carrying on with what is known")
+		log.WithError(err).Warn("platform read failed; continuing with the last known value")
 	case err == nil && t.failed:
-		log.Info("platform answers again")
+		log.Info("platform read succeeded again")
 	}
 	t.failed = err != nil
 }
