--- a/internal/operator/conn.go
+++ b/internal/operator/conn.go
@@ -25,7 +25,7 @@
 
 	meteredConn struct {
 		net.Conn
-		sent, got *metrics.Counter
+		sent, received *metrics.Counter
 	}
 )
 
@@ -57,14 +57,14 @@
 	return l.metrics.conn(c), nil
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.got.Add(n)
+	c.received.Add(n)
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(n)
@@ -72,5 +72,5 @@
 }
 
 func (m *Metrics) conn(c net.Conn) net.Conn {
-	return &meteredConn{Conn: c, sent: m.sent, got: m.got}
+	return &meteredConn{Conn: c, sent: m.sent, received: m.received}
 }
--- a/internal/operator/log.go
+++ b/internal/operator/log.go
@@ -9,13 +9,13 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-// Log writes what goes wrong with requests as log lines.
+// Log logs failed attempts and refused requests.
 type Log struct {
-	// To takes the lines.
+	// To receives the log lines.
 	To logrus.FieldLogger
 }
 
-// Record logs refusals, and attempts that were not answered.
+// Record logs refusals, and attempts that were lost or not run.
 func (l Log) Record(r dispatch.Record) {
 	switch {
 	case r.Outcome == route.OutcomeLost:
--- a/internal/operator/metrics.go
+++ b/internal/operator/metrics.go
@@ -18,7 +18,7 @@
 // namePrefix starts the name of every metric.
 const namePrefix = "bulrushhinge_"
 
-// Outcomes of a request to callers.
+// Outcomes of callers' requests, as the metric requests_total labels them.
 const (
 	outcomeAnswered = "answered"
 	outcomeRefused  = "refused"
@@ -29,7 +29,7 @@
 	// MetricsConfig is the settings of Metrics.
 	MetricsConfig struct {
 		View func() *kernel.View
-		// Platform returns the state of the platform's reader.
+		// Platform returns the status of each key that the reader follows.
 		Platform func() []platform.Status
 		// Active returns the number of requests in progress.
 		Active func() int
@@ -37,14 +37,14 @@
 		Now func() time.Time
 	}
 
-	// Metrics counts what one node does. Several nodes of one process each have
-	// their own. It is safe for concurrent use.
+	// Metrics holds the metrics of one node; each node of a process has its
+	// own. It is safe for concurrent use.
 	Metrics struct {
-		config MetricsConfig
-		set    *metrics.Set
-		sent   *metrics.Counter
-		got    *metrics.Counter
-		first  *metrics.Histogram
+		config    MetricsConfig
+		set       *metrics.Set
+		sent      *metrics.Counter
+		received  *metrics.Counter
+		firstByte *metrics.Histogram
 	}
 )
 
@@ -55,11 +55,11 @@
 	}
 	s := metrics.NewSet()
 	return &Metrics{
-		config: c,
-		set:    s,
-		sent:   s.NewCounter(namePrefix + `peer_bytes_total{direction="sent"}`),
-		got:    s.NewCounter(namePrefix + `peer_bytes_total{direction="received"}`),
-		first:  s.NewHistogram(namePrefix + "first_byte_seconds"),
+		config:    c,
+		set:       s,
+		sent:      s.NewCounter(namePrefix + `peer_bytes_total{direction="sent"}`),
+		received:  s.NewCounter(namePrefix + `peer_bytes_total{direction="received"}`),
+		firstByte: s.NewHistogram(namePrefix + "first_byte_seconds"),
 	}
 }
 
@@ -67,28 +67,28 @@
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	v := m.config.View()
-	gauge(w, "revision", "", float64(inForce(v)))
-	gauge(w, "revision_conflict", "", truth(v.Conflict != ""))
-	gauge(w, "leaving", "", truth(v.Leaving))
+	gauge(w, "revision", "", float64(activeRevision(v)))
+	gauge(w, "revision_conflict", "", boolValue(v.Conflict != ""))
+	gauge(w, "leaving", "", boolValue(v.Leaving))
 	gauge(w, "requests_active", "", float64(m.config.Active()))
 	m.writeInstances(w, v)
 	m.writePlatform(w)
-	// What packages count for the whole process comes last.
+	// The process-wide metrics of other packages come last.
 	metrics.WritePrometheus(w, true)
 }
 
-// PlatformRead counts a reading of the platform.
+// PlatformRead counts a read of a platform key by its result.
 func (m *Metrics) PlatformRead(key string, err error) {
 	m.count("platform_reads_total", `key=%q,result=%q`, key, result(err))
 }
 
-// Beat counts a heartbeat that was sent and whether the peer answered.
+// Beat counts a sent heartbeat by whether the peer answered.
 func (m *Metrics) Beat(err error) { m.count("heartbeats_total", `result=%q`, result(err)) }
 
-// Fetch counts an accepted revision that was asked of a peer.
+// Fetch counts a request to a peer for an accepted revision by its result.
 func (m *Metrics) Fetch(err error) { m.count("revision_fetches_total", `result=%q`, result(err)) }
 
-// Record counts the steps of plans and what came of them: permits by verdict,
+// Record counts the steps of plans and their outcomes: permits by verdict, and
 // attempts that were lost or not run.
 func (m *Metrics) Record(r dispatch.Record) {
 	switch r.Outcome {
@@ -143,8 +143,8 @@
 			gauge(w, "platform_silent_seconds", labels, now.Sub(s.Answered).Seconds())
 		}
 		gauge(w, "platform_failures", labels, float64(s.Failures))
-		gauge(w, "platform_behind", labels, truth(s.Behind))
-		gauge(w, "platform_refused", labels, truth(s.Refused != ""))
+		gauge(w, "platform_behind", labels, boolValue(s.Behind))
+		gauge(w, "platform_refused", labels, boolValue(s.Refused != ""))
 	}
 }
 
@@ -164,7 +164,7 @@
 	return "ok"
 }
 
-func truth(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/operator/observe.go
+++ b/internal/operator/observe.go
@@ -9,8 +9,9 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// observed is a ResponseWriter that notes the status and a refusal.
-type observed struct {
+// observedWriter is a ResponseWriter that records the status, the time to the
+// first byte and the body of a refusal.
+type observedWriter struct {
 	http.ResponseWriter
 	status  int
 	refusal entry.Refusal
@@ -19,24 +20,24 @@
 }
 
 // Observe counts the answers and refusals of a callers' handler. A handler that
-// breaks its answer off, so that the caller cannot take it for a whole one, is
-// counted as cut.
+// panics to abort its answer, so that the caller cannot mistake it for a
+// complete one, is counted as cut.
 func (m *Metrics) Observe(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == entry.PathEntry {
 			next.ServeHTTP(w, r)
 			return
 		}
-		o := &observed{ResponseWriter: w, began: m.config.Now()}
-		whole := false
-		defer func() { m.ended(o, whole) }()
+		o := &observedWriter{ResponseWriter: w, began: m.config.Now()}
+		completed := false
+		defer func() { m.recordResult(o, completed) }()
 		next.ServeHTTP(o, r)
-		whole = true
+		completed = true
 	})
 }
 
-// WriteHeader notes the status.
-func (o *observed) WriteHeader(status int) {
+// WriteHeader records the status.
+func (o *observedWriter) WriteHeader(status int) {
 	if o.status == 0 {
 		o.status = status
 		o.first = time.Since(o.began)
@@ -44,8 +45,8 @@
 	o.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the body of a refusal, which comes in one piece.
-func (o *observed) Write(data []byte) (int, error) {
+// Write records the body of a refusal, which handlers write in one call.
+func (o *observedWriter) Write(data []byte) (int, error) {
 	if o.status == 0 {
 		o.status = http.StatusOK
 		o.first = time.Since(o.began)
@@ -60,17 +61,17 @@
 }
 
 // Unwrap lets a ResponseController reach the connection.
-func (o *observed) Unwrap() http.ResponseWriter { return o.ResponseWriter }
+func (o *observedWriter) Unwrap() http.ResponseWriter { return o.ResponseWriter }
 
-func (m *Metrics) ended(o *observed, whole bool) {
+func (m *Metrics) recordResult(o *observedWriter, completed bool) {
 	switch {
-	case !whole:
+	case !completed:
 		m.count("requests_total", `outcome=%q`, outcomeCut)
 	case o.refusal.Type != "":
 		m.count("requests_total", `outcome=%q`, outcomeRefused)
 		m.count("refusals_total", `reason=%q,ran=%q`, o.refusal.Type, string(o.refusal.Ran))
 	default:
 		m.count("requests_total", `outcome=%q`, outcomeAnswered)
-		m.first.Update(o.first.Seconds())
+		m.firstByte.Update(o.first.Seconds())
 	}
 }
--- a/internal/operator/page_test.go
+++ b/internal/operator/page_test.go
@@ -17,8 +17,8 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// TestMetricsPage fails where a metric is missing on the operators' page, or
-// one is named there that does not exist.
+// TestMetricsPage guards against an operators' page that lacks a metric or
+// lists one that does not exist.
 func TestMetricsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/metrics.md")
 	require.NoError(t, err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' own listener: state dump, metrics,
-// health and readiness, the revision in force, live and leaving instances and
+// Package operator implements the HTTP API for operators: state dump, metrics,
+// health and readiness, the active revision, live and leaving instances, and
 // the decisions on single requests.
 package operator
 
@@ -21,12 +21,12 @@
 		// Dump returns the state of every part of the node.
 		Dump func() map[string]any
 		// Record returns the signed record of the revision that the node
-		// holds, nil where there is none.
+		// holds, nil if there is none.
 		Record func() []byte
-		// Token is the secret that operators show as a bearer token. Without
-		// one only health and readiness are served.
+		// Token is the bearer token that operators must send. If it is empty,
+		// only health and readiness are served.
 		Token string
-		// Metrics and Traces are what the node counts and keeps.
+		// Metrics and Traces are the node's metrics and request traces.
 		Metrics *Metrics
 		Traces  *Traces
 	}
@@ -39,7 +39,7 @@
 
 	// Revision is the answer to GET /revision.
 	Revision struct {
-		// Revision is in force; 0 is none.
+		// Revision is the active revision; 0 is none.
 		Revision uint64 `json:"revision"`
 		// Record is the newest record that the node holds.
 		Record json.RawMessage `json:"record,omitempty"`
@@ -51,13 +51,13 @@
 		Endpoints []Instance `json:"endpoints"`
 	}
 
-	// Instance is a node or an endpoint as the node sees it.
+	// Instance is a node or an endpoint in the node's view.
 	Instance struct {
 		Name    string       `json:"name"`
 		Zone    string       `json:"zone"`
 		Service string       `json:"service,omitempty"`
 		State   kernel.State `json:"state"`
-		// Home is the node that admits work to an endpoint.
+		// Home is the owner: the node that admits work to an endpoint.
 		Home string `json:"home,omitempty"`
 		// Requests and Tokens are an endpoint's outstanding work.
 		Requests int `json:"requests,omitempty"`
@@ -70,19 +70,19 @@
 	h := &Handler{config: c, mux: http.NewServeMux()}
 	h.mux.HandleFunc("GET /healthz", h.health)
 	h.mux.HandleFunc("GET /readyz", h.ready)
-	h.mux.HandleFunc("GET /state", h.guard(h.state))
-	h.mux.HandleFunc("GET /metrics", h.guard(h.metrics))
-	h.mux.HandleFunc("GET /revision", h.guard(h.revision))
-	h.mux.HandleFunc("GET /instances", h.guard(h.instances))
-	h.mux.HandleFunc("GET /requests/{id}", h.guard(h.request))
+	h.mux.HandleFunc("GET /state", h.requireToken(h.state))
+	h.mux.HandleFunc("GET /metrics", h.requireToken(h.metrics))
+	h.mux.HandleFunc("GET /revision", h.requireToken(h.revision))
+	h.mux.HandleFunc("GET /instances", h.requireToken(h.instances))
+	h.mux.HandleFunc("GET /requests/{id}", h.requireToken(h.request))
 	return h
 }
 
 // ServeHTTP serves one request of an operator.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// guard lets only operators pass who show the token.
-func (h *Handler) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireToken calls next only for requests with the bearer token.
+func (h *Handler) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if h.config.Token == "" {
 			http.Error(w, "the node has no operators' token; set one to use this call", http.StatusForbidden)
@@ -109,8 +109,8 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// ready fails before the first accepted configuration and once the planned
-// stop has begun.
+// ready fails before the first accepted configuration and once a graceful
+// shutdown has begun.
 func (h *Handler) ready(w http.ResponseWriter, _ *http.Request) {
 	v := h.config.View()
 	switch {
@@ -124,7 +124,7 @@
 }
 
 func (h *Handler) revision(w http.ResponseWriter, _ *http.Request) {
-	reply(w, Revision{Revision: inForce(h.config.View()), Record: h.config.Record()})
+	reply(w, Revision{Revision: activeRevision(h.config.View()), Record: h.config.Record()})
 }
 
 func (h *Handler) instances(w http.ResponseWriter, _ *http.Request) {
@@ -163,7 +163,7 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-func inForce(v *kernel.View) uint64 {
+func activeRevision(v *kernel.View) uint64 {
 	if v.Manifest == nil {
 		return 0
 	}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -30,7 +30,7 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// _ checks that what the node hands to dispatch and reader fits.
+// The types that a node passes to dispatch and to the platform reader.
 var (
 	_ dispatch.Recorder = (*operator.Traces)(nil)
 	_ dispatch.Recorder = (*operator.Metrics)(nil)
@@ -87,7 +87,7 @@
 	return w.Code, w.Body.String()
 }
 
-func TestCredential(t *testing.T) {
+func TestBearerToken(t *testing.T) {
 	paths := []string{"/state", "/metrics", "/revision", "/instances", "/requests/1"}
 	h, _ := newHandler(view(), token)
 	open, _ := newHandler(view(), "")
@@ -230,7 +230,7 @@
 	require.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 10))
 	require.NoError(t, err)
-	// A write counts once it has returned, which may be after its bytes arrive.
+	// A write is counted after it returns, possibly after its bytes arrived.
 	<-echoed
 	var text bytes.Buffer
 	m.Write(&text)
@@ -238,7 +238,7 @@
 	require.Contains(t, text.String(), `bulrushhinge_peer_bytes_total{direction="received"} 20`)
 }
 
-func TestTraceTellsWhy(t *testing.T) {
+func TestTraceRecordsDecisions(t *testing.T) {
 	h, traces := newHandler(view(), token)
 	req := route.Request{ID: 0xabc, Account: "a1", Chat: "a1/x", Service: "engines", Hint: hint.Hint{Endpoint: "w1", Tokens: 9}}
 	e := kernel.Endpoint{Name: "w1", Home: "n1", Load: kernel.Load{Requests: 3}}
@@ -256,7 +256,7 @@
 	require.Equal(t, http.StatusOK, status)
 	var got operator.Trace
 	require.NoError(t, json.Unmarshal([]byte(body), &got))
-	require.Equal(t, operator.TraceStep{Step: "ask", Endpoint: "w1", Home: "n1", State: "live", Requests: 3, Hinted: true, Outcome: "full", Attempt: "f1"}, got.Steps[0])
+	require.Equal(t, operator.TraceStep{Step: "ask", Endpoint: "w1", Owner: "n1", State: "live", Requests: 3, Hinted: true, Outcome: "full", Attempt: "f1"}, got.Steps[0])
 	require.Equal(t, operator.TraceStep{AfterMS: 1, Step: "wait", WaitMS: 20}, got.Steps[1])
 	require.Equal(t, operator.TraceStep{AfterMS: 1000, Step: "refuse", Reason: "deadline"}, got.Steps[len(got.Steps)-1])
 	require.Positive(t, got.Omitted)
--- a/internal/operator/trace.go
+++ b/internal/operator/trace.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// DefaultTraces is how many requests are kept.
+	// DefaultTraces is the default number of requests kept.
 	DefaultTraces = 1024
-	// maxSteps bounds one trace; a request that waits long takes many steps.
+	// maxSteps bounds one trace, as a request that waits long takes many steps.
 	maxSteps = 32
 )
 
@@ -33,8 +33,8 @@
 		Size int
 	}
 
-	// Traces keeps what the plans of the newest requests did, in bounded
-	// memory. It is safe for concurrent use.
+	// Traces keeps the steps of the newest requests' plans in bounded memory.
+	// It is safe for concurrent use.
 	Traces struct {
 		mu   sync.Mutex
 		ring []*Trace
@@ -61,26 +61,26 @@
 		id uint64
 	}
 
-	// TraceStep is one decision and what came of it.
+	// TraceStep is one decision and its outcome.
 	TraceStep struct {
 		// AfterMS is the time since the request began, in milliseconds.
 		AfterMS float64 `json:"after_ms"`
 		// Step is ask, run, wait or refuse.
 		Step     string `json:"step"`
 		Endpoint string `json:"endpoint,omitempty"`
-		Home     string `json:"home,omitempty"`
-		// State and Requests are what the node knew of the endpoint.
+		Owner    string `json:"home,omitempty"`
+		// State and Requests are the endpoint's in the node's view.
 		State    string `json:"state,omitempty"`
 		Requests int    `json:"requests,omitempty"`
-		// Attempt names the attempt in logs, at homes and endpoints.
+		// Attempt identifies the attempt in logs, at owners and at endpoints.
 		Attempt string `json:"attempt,omitempty"`
 		// Hinted says that the caller's hint named the endpoint.
 		Hinted bool `json:"hinted,omitempty"`
 		// WaitMS is how long a wait lasts, in milliseconds.
 		WaitMS float64 `json:"wait_ms,omitempty"`
-		// Reason is why a refusal refused.
+		// Reason is the reason for a refusal.
 		Reason string `json:"reason,omitempty"`
-		// Outcome is empty for a run that the endpoint answered or has yet to.
+		// Outcome is empty for a run that was answered or is still in progress.
 		Outcome string `json:"outcome,omitempty"`
 	}
 )
@@ -110,7 +110,7 @@
 	return c, true
 }
 
-// Record keeps a step of a request's plan, or what came of its last step.
+// Record adds a step of a request's plan, or the outcome of its last step.
 func (t *Traces) Record(r dispatch.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,7 +119,7 @@
 		trace = t.begin(r.Time, r.Request)
 	}
 	if r.Outcome != 0 {
-		trace.outcome(r)
+		trace.setOutcome(r)
 		return
 	}
 	if len(trace.Steps) == maxSteps && r.Step.Kind != route.StepRefuse {
@@ -129,7 +129,7 @@
 	trace.Steps = append(trace.Steps, traceStep(trace, r))
 }
 
-// begin puts a new trace in the place of the oldest.
+// begin starts a new trace, which replaces the oldest.
 func (t *Traces) begin(now time.Time, req route.Request) *Trace {
 	if old := t.ring[t.next]; old != nil {
 		delete(t.byID, old.id)
@@ -146,7 +146,7 @@
 	return trace
 }
 
-func (t *Trace) outcome(r dispatch.Record) {
+func (t *Trace) setOutcome(r dispatch.Record) {
 	if t.Omitted > 0 || len(t.Steps) == 0 {
 		return
 	}
@@ -159,7 +159,7 @@
 	e := r.Step.Endpoint
 	step := TraceStep{
 		AfterMS: milliseconds(r.Time.Sub(t.Began)),
-		Step:    stepNames[r.Step.Kind], Endpoint: e.Name, Home: e.Home,
+		Step:    stepNames[r.Step.Kind], Endpoint: e.Name, Owner: e.Home,
 		Reason: string(r.Step.Reason),
 	}
 	if e.Name != "" {
