--- a/internal/endpoint/answer.go
+++ b/internal/endpoint/answer.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	// ErrLarge is returned where an answer is larger than the reader takes.
+	// ErrLarge is returned when an answer exceeds the reader's limit.
 	ErrLarge = errors.New("endpoint: answer too large")
-	// ErrFull is returned where the reader has no memory left for an answer.
+	// ErrFull is returned when the reader has no memory left for an answer.
 	ErrFull = errors.New("endpoint: no memory for the answer")
 )
 
@@ -22,40 +22,40 @@
 	Header http.Header
 	Body   io.ReadCloser
 
-	// Framed says that the body's end is marked, by its length or by a last
-	// chunk, so that a cut body can be told from a whole one.
+	// Framed is set if the body's end is marked, by its length or by a last
+	// chunk, so that a truncated body can be told from a complete one.
 	Framed bool
 
-	// Meter is asked before each piece of a whole answer is kept; an error,
-	// ErrFull, ends the reading. Nil keeps all.
+	// Meter is called before ReadAll keeps a piece of the answer; an error,
+	// ErrFull, ends the read. Nil keeps all.
 	Meter func(bytes int) error
 
-	// whole is set once the answer was read to its proper end.
-	whole   bool
-	attempt string
-	client  *Client
-	addr    netip.AddrPort
-	ctx     context.Context
+	// complete is set once the answer was read to its proper end.
+	complete bool
+	attempt  string
+	client   *Client
+	addr     netip.AddrPort
+	ctx      context.Context
 }
 
-// metered is a body whose size is accounted for as it is read.
-type metered struct {
+// meteredReader is a body that reports its size to meter as it is read.
+type meteredReader struct {
 	io.Reader
 	meter func(bytes int) error
 }
 
-// ReadAll reads a whole body of at most limit bytes. Where the connection
-// breaks, the answer is asked for once more from its beginning. It returns
-// ErrCut where the
-// body may have been cut: it ended early, or its length was neither announced
-// nor marked, so that a broken connection looks like its end.
+// ReadAll reads a complete body of at most limit bytes. If the connection
+// breaks, it requests the answer once more from the beginning. It returns
+// ErrCut if the body may be truncated: it ended early, or its end was marked
+// neither by a length nor by a last chunk, so that a broken connection looks
+// like its end.
 func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	data, err := a.read(limit)
 	if errors.Is(err, ErrFull) {
 		return nil, err
 	}
 	if err != nil && a.client != nil && a.ctx.Err() == nil {
-		data, err = a.readAgain(limit, err)
+		data, err = a.resumeRead(limit, err)
 	}
 	switch {
 	case err != nil:
@@ -65,22 +65,22 @@
 	case !a.Framed:
 		return nil, fmt.Errorf("%w: length unknown", ErrCut)
 	}
-	a.whole = true
+	a.complete = true
 	return data, nil
 }
 
-// Close ends the answer. An endpoint that still runs the call is told to stop:
-// it cannot tell a caller that gave up from a broken connection, after which
-// the stream is asked for again.
+// Close ends the answer and cancels the call if it may still run: the endpoint
+// cannot tell a caller that gave up from a broken connection, after which the
+// stream is resumed.
 func (a *Answer) Close() error {
 	err := a.Body.Close()
-	if !a.whole && a.client != nil {
-		a.client.cancelLater(a.addr, a.attempt)
+	if !a.complete && a.client != nil {
+		a.client.cancelInBackground(a.addr, a.attempt)
 	}
 	return err
 }
 
-func (a *Answer) readAgain(limit int64, broken error) ([]byte, error) {
+func (a *Answer) resumeRead(limit int64, broken error) ([]byte, error) {
 	_ = a.Body.Close()
 	again, err := a.client.Resume(a.ctx, a.addr, a.attempt, 0)
 	if errors.Is(err, errConnection) {
@@ -94,11 +94,11 @@
 }
 
 func (a *Answer) read(limit int64) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(&metered{Reader: a.Body, meter: a.Meter}, limit+1))
+	return io.ReadAll(io.LimitReader(&meteredReader{Reader: a.Body, meter: a.Meter}, limit+1))
 }
 
-// Read reads a piece and asks whether it may be kept.
-func (m *metered) Read(p []byte) (int, error) {
+// Read reads a piece, which it discards if meter returns an error.
+func (m *meteredReader) Read(p []byte) (int, error) {
 	n, err := m.Reader.Read(p)
 	if m.meter == nil || n == 0 {
 		return n, err
--- a/internal/endpoint/attempt.go
+++ b/internal/endpoint/attempt.go
@@ -14,15 +14,15 @@
 	attemptsPath  = "/v1/attempts/"
 	cancelTimeout = time.Second
 
-	// DefaultResume is how long an endpoint may take to answer for a broken
-	// attempt.
+	// DefaultResume is the default time that an endpoint has to answer when it
+	// is asked to resume or cancel an attempt.
 	DefaultResume = 5 * time.Second
 )
 
-// Resume asks for the answer to an attempt again, from the given event on. It
-// returns ErrLost where the endpoint does not have it: that proves nothing, for
-// the call may still be on its way. Where the endpoint does not answer at all,
-// the error tells so.
+// Resume requests the answer to an attempt again, starting at event number
+// from. It returns ErrLost if the endpoint does not have it, which proves
+// nothing: the call may still be on its way. If the endpoint does not answer at
+// all, the error also wraps errConnection.
 func (c *Client) Resume(ctx context.Context, addr netip.AddrPort, attempt string, from int) (*Answer, error) {
 	query := url.Values{"from": {strconv.Itoa(from)}}.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, attemptURL(addr, attempt)+"?"+query, nil)
@@ -41,7 +41,7 @@
 }
 
 // Cancel tells an endpoint to stop an attempt. An endpoint that does not know
-// it does nothing.
+// the attempt does nothing.
 func (c *Client) Cancel(ctx context.Context, addr netip.AddrPort, attempt string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, attemptURL(addr, attempt), nil)
 	if err != nil {
@@ -54,12 +54,13 @@
 	return resp.Body.Close()
 }
 
-// cancelLater cancels an attempt in the background, unless the client is closed.
+// cancelInBackground cancels an attempt in the background, unless the client is
+// closed.
 //
-// A handler that is still ending while the node closes would otherwise add to
-// the cancellations while Close waits for them, which the race detector reports
-// and which leaves a cancellation behind.
-func (c *Client) cancelLater(addr netip.AddrPort, attempt string) {
+// Otherwise a handler that ends while the node closes could start a
+// cancellation while Close waits for the others: the race detector reports
+// this, and the cancellation outlives the client.
+func (c *Client) cancelInBackground(addr netip.AddrPort, attempt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
--- a/internal/endpoint/cache.go
+++ b/internal/endpoint/cache.go
@@ -16,9 +16,9 @@
 
 // Kinds of cache events.
 const (
-	// EventStore is a prefix that an engine's cache took in.
+	// EventStore means that an engine's cache added a prefix.
 	EventStore EventKind = "store"
-	// EventEvict is a prefix that an engine's cache dropped.
+	// EventEvict means that an engine's cache evicted a prefix.
 	EventEvict EventKind = "evict"
 )
 
@@ -28,7 +28,7 @@
 	maxKVBytes     = 64 << 20
 )
 
-// ErrNoKV is returned where an engine holds nothing of a chat.
+// ErrNoKV is returned when an engine has no KV cache of a chat.
 var ErrNoKV = errors.New("endpoint: no KV cache of the chat")
 
 type (
@@ -37,7 +37,7 @@
 
 	// CacheEvent is one change of an engine's prefix cache.
 	CacheEvent struct {
-		// Serial rises by one for each event; a missing one was lost.
+		// Serial increases by one with each event; a gap means lost events.
 		Serial uint64    `json:"serial"`
 		Kind   EventKind `json:"kind"`
 		Chat   string    `json:"chat"`
@@ -47,7 +47,7 @@
 	// CacheEvents is the events after a serial.
 	CacheEvents struct {
 		Events []CacheEvent `json:"events"`
-		// Last is the serial to ask from next.
+		// Last is the serial after which to read next.
 		Last uint64 `json:"last"`
 	}
 
@@ -59,7 +59,7 @@
 	}
 )
 
-// Events reads the cache events after a serial. They come late and with gaps.
+// Events reads the cache events after a serial. They are delayed and have gaps.
 func (c *Client) Events(ctx context.Context, addr netip.AddrPort, after uint64) (CacheEvents, error) {
 	var events CacheEvents
 	path := "/v1/events?after=" + strconv.FormatUint(after, 10)
@@ -74,7 +74,7 @@
 	return kv, err
 }
 
-// ImportKV gives an engine the KV cache of a chat.
+// ImportKV sends the KV cache of a chat to an engine.
 func (c *Client) ImportKV(ctx context.Context, addr netip.AddrPort, kv KV) error {
 	data, err := json.Marshal(kv)
 	if err != nil {
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to the endpoints that run requests: model engines and
-// plain services.
+// Package endpoint is the client for the endpoints that run requests: model
+// engines and plain services.
 package endpoint
 
 import (
@@ -29,15 +29,16 @@
 )
 
 var (
-	// ErrNotRun is returned where the endpoint certainly did not run the call.
+	// ErrNotRun is returned when the endpoint certainly did not run the call.
 	ErrNotRun = errors.New("endpoint: not run")
-	// ErrLost is returned where nobody knows whether the endpoint ran the call.
+	// ErrLost is returned when it is unknown whether the endpoint ran the call.
 	ErrLost = errors.New("endpoint: lost")
-	// ErrCut is returned where an answer ended without its end mark.
+	// ErrCut is returned when an answer ended without its end mark or may
+	// otherwise be truncated.
 	ErrCut = errors.New("endpoint: answer cut")
-	// ErrDied is returned, with ErrLost or ErrCut, where the connection broke
-	// while the call ran and the endpoint does not answer any more, or answers
-	// but has lost an attempt that it had begun.
+	// ErrDied is returned, with ErrLost or ErrCut, when the connection broke
+	// while the call ran and the endpoint no longer answers, or answers but has
+	// lost an attempt that it had begun.
 	ErrDied = errors.New("endpoint: died")
 
 	errConnection = errors.New("connection broke")
@@ -46,12 +47,12 @@
 type (
 	// Call is one attempt at a request.
 	Call struct {
-		// Attempt is unique over the fleet; the answer must carry it.
+		// Attempt is an ID, unique in the fleet, that the answer must repeat.
 		Attempt string
 		Method  string
 		Path    string
 		Type    string
-		// Header is further headers that are passed on.
+		// Header holds further headers to forward.
 		Header   http.Header
 		Body     []byte
 		Chat     string
@@ -70,23 +71,23 @@
 	ClientConfig struct {
 		// Dialer opens connections; nil is a net.Dialer with a short timeout.
 		Dialer Dialer
-		// Resume is how long an endpoint may take to answer for a broken
-		// attempt; 0 is DefaultResume.
+		// Resume is the time that an endpoint has to answer when it is asked to
+		// resume or cancel an attempt; 0 is DefaultResume.
 		Resume time.Duration
-		// Heard takes what endpoints say of themselves in their answers; it may be
+		// Heard is called with each notice in an endpoint's answer; it may be
 		// nil.
 		Heard func(addr netip.AddrPort, n Notice)
 	}
 
 	// Client calls endpoints over HTTP. It is safe for concurrent use.
 	Client struct {
-		shared *http.Client
-		single *http.Client
-		// control asks for attempts again and cancels them. An endpoint that
-		// takes the question and does not answer must not hold the call.
+		shared  *http.Client
+		oneShot *http.Client
+		// control resumes and cancels attempts. It has a timeout, so that an
+		// endpoint that accepts a request and never answers cannot block the call.
 		control *http.Client
 		running sync.WaitGroup
-		// mu guards closed, after which nothing more is started.
+		// mu guards closed, after which no cancellation is started.
 		mu     sync.Mutex
 		closed bool
 	}
@@ -94,12 +95,12 @@
 
 // NewClient returns a Client.
 //
-// The transport of net/http sends a request again when a kept-alive connection
-// breaks before the answer and the request looks repeatable, as an
-// Idempotency-Key header makes it; the endpoint might run the call twice. Calls
-// marked Once therefore get a connection of their own, on which there is
-// nothing to send again. For the same reason no redirect is followed: a 307 or
-// 308 would send the body again.
+// The transport of net/http retries a request when a kept-alive connection
+// breaks before the answer and the request looks idempotent, for instance by an
+// Idempotency-Key header; the endpoint might run the call twice. Calls marked
+// Once therefore each get a new connection, on which the transport does not
+// retry. For the same reason no redirect is followed: a 307 or 308 would send
+// the body again.
 func NewClient(c ClientConfig) *Client {
 	if c.Heard == nil {
 		c.Heard = func(netip.AddrPort, Notice) {}
@@ -120,7 +121,7 @@
 			DisableCompression:    true,
 			ResponseHeaderTimeout: cmp.Or(c.Resume, DefaultResume),
 		}),
-		single: newHTTP(c, &http.Transport{
+		oneShot: newHTTP(c, &http.Transport{
 			DialContext:        dialer.DialContext,
 			DisableKeepAlives:  true,
 			DisableCompression: true,
@@ -128,38 +129,39 @@
 	}
 }
 
-// Close waits for the cancellations under way and drops idle connections.
+// Close waits for cancellations in progress and closes idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
 	c.running.Wait()
 	c.shared.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.oneShot.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
-// Do sends a call and returns the head of the answer. It returns ErrNotRun
-// where no connection was made, so that no byte of the call can have gone out,
-// or where the endpoint said so, and ErrLost for every other failure.
+// Do sends a call and returns the answer, whose body is yet to be read. It
+// returns ErrNotRun if no connection was made, so that no byte of the call can
+// have been sent, or if the endpoint said so, and ErrLost for every other
+// failure.
 //
-// A connection that breaks before the head of the answer may leave the call
-// running; its answer is asked for once before the call is given up.
+// If the connection breaks before the answer's headers, the call may still be
+// running; Do requests its answer once more before it gives up.
 func (c *Client) Do(ctx context.Context, addr netip.AddrPort, call Call) (*Answer, error) {
 	answer, err := c.send(ctx, addr, call)
 	if !errors.Is(err, ErrLost) {
 		return answer, err
 	}
 	if errors.Is(err, errConnection) && ctx.Err() == nil {
-		answer, again := c.Resume(ctx, addr, call.Attempt, 0)
-		if again == nil {
+		answer, resumeErr := c.Resume(ctx, addr, call.Attempt, 0)
+		if resumeErr == nil {
 			return answer, nil
 		}
-		if errors.Is(again, errConnection) {
+		if errors.Is(resumeErr, errConnection) {
 			err = fmt.Errorf("%w: %w", ErrDied, err)
 		}
 	}
-	c.cancelLater(addr, call.Attempt)
+	c.cancelInBackground(addr, call.Attempt)
 	return nil, err
 }
 
@@ -174,7 +176,7 @@
 	}
 	client := c.shared
 	if call.Once {
-		client = c.single
+		client = c.oneShot
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -187,8 +189,8 @@
 	return c.answer(ctx, addr, call.Attempt, resp)
 }
 
-// answer checks that a response belongs to the attempt: a crossed or late one
-// must never reach another caller.
+// answer checks that a response belongs to the attempt: a late response, or one
+// to another attempt, must never reach another caller.
 func (c *Client) answer(ctx context.Context, addr netip.AddrPort, attempt string, resp *http.Response) (*Answer, error) {
 	if got := resp.Header.Get(HeaderAttempt); got != attempt {
 		resp.Body.Close()
@@ -248,9 +250,9 @@
 	return req, nil
 }
 
-// failure tells a call that cannot have been sent from one that may have been.
-// Only the first may be said not to have run: once there is a connection, the
-// endpoint may hold the whole call although writing it failed.
+// failure returns ErrNotRun for a call that cannot have been sent and ErrLost
+// for one that may have been: once there is a connection, the endpoint may have
+// received the whole call even if writing it failed.
 func failure(err error, connected bool) error {
 	if connected {
 		return fmt.Errorf("%w: %w: %v", ErrLost, errConnection, err)
@@ -260,7 +262,7 @@
 
 func newHTTP(c ClientConfig, t *http.Transport) *http.Client {
 	return &http.Client{
-		Transport:     listener{next: t, heard: c.Heard},
+		Transport:     noticeTransport{next: t, onNotice: c.Heard},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -18,7 +18,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 )
 
-// serve answers each connection by a function until the test ends.
+// serve calls handle for each connection until the test ends.
 func serve(t *testing.T, handle func(c net.Conn)) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,10 +57,11 @@
 	return c
 }
 
-// Guards against this failure: a renewal letter goes out twice although the node sent one
-// request.
+// Guards against a call marked Once that runs twice (a renewal letter that is
+// mailed twice) because the transport retries it when a kept-alive connection
+// breaks.
 func TestTransportNeverSendsACallTwice(t *testing.T) {
-	var letters atomic.Int32
+	var received atomic.Int32
 	addr := serve(t, func(c net.Conn) {
 		requests := bufio.NewReader(c)
 		for {
@@ -70,7 +71,7 @@
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
 			if r.URL.Path == "/letter" {
-				letters.Add(1)
+				received.Add(1)
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Attempt: warm\r\nContent-Length: 0\r\n\r\n")
@@ -87,19 +88,19 @@
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
 		for _, body := range [][]byte{nil, []byte("letter")} {
 			warm()
-			letters.Store(0)
+			received.Store(0)
 			_, err := client.Do(t.Context(), addr, endpoint.Call{
 				Attempt: "1", Method: method, Path: "/letter", Body: body, Once: true,
 				Header: http.Header{"Idempotency-Key": {"1"}},
 			})
 			require.ErrorIs(t, err, endpoint.ErrLost)
 			require.NotErrorIs(t, err, endpoint.ErrNotRun)
-			require.EqualValues(t, 1, letters.Load(), method)
+			require.EqualValues(t, 1, received.Load(), method)
 		}
 	}
 }
 
-// Guards against this failure: the same, from a redirect.
+// Guards against a call that runs twice because the client follows a redirect.
 func TestNoRedirectIsFollowed(t *testing.T) {
 	var calls atomic.Int32
 	addr := serve(t, func(c net.Conn) {
@@ -125,8 +126,9 @@
 	}
 }
 
-// Guards against this failure: the caller is told "not run" of a request that ran.
-func TestNotRunIsSaidOnlyWithoutAConnection(t *testing.T) {
+// Guards against a request that is reported as not run although the endpoint may
+// have run it, because the connection broke after it was made.
+func TestNotRunOnlyWithoutConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	refusing, err := netip.ParseAddrPort(l.Addr().String())
@@ -135,7 +137,7 @@
 	readSome := func(n int64) func(net.Conn) {
 		return func(c net.Conn) {
 			method := make([]byte, 4)
-			// The question for the attempt that broke is not answered either.
+			// The request to resume the broken attempt is not answered either.
 			if n == 0 || readFull(c, method) && string(method) == "GET " {
 				return
 			}
@@ -179,9 +181,9 @@
 	}
 }
 
-// Guards against this failure: an answer that came after the node gave up reaches the next
-// caller.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// Guards against an answer that arrives after the node gave up and reaches the
+// next caller.
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	late := make(chan struct{})
 	var first atomic.Bool
 	addr := serve(t, func(c net.Conn) {
@@ -215,9 +217,9 @@
 	}
 }
 
-// Guards against this failure: a caller waits until its deadline for an answer that cannot
-// come.
-func TestQuestionForABrokenAttemptIsBounded(t *testing.T) {
+// Guards against a caller that waits until its deadline because the endpoint
+// accepts the request to resume a broken attempt and never answers it.
+func TestResumeOfBrokenAttemptIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	addr := serve(t, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
@@ -235,9 +237,9 @@
 	require.NoError(t, ctx.Err())
 }
 
-// Guards against a word of an endpoint on itself that is heard in some of its answers
+// Guards against notices that are read from the answers to some kinds of calls
 // only.
-func TestNoticesAreHeardInAllAnswers(t *testing.T) {
+func TestNoticesAreReadFromAllAnswers(t *testing.T) {
 	calls := map[string]func(ctx context.Context, c *endpoint.Client, addr netip.AddrPort){
 		"request": func(ctx context.Context, c *endpoint.Client, addr netip.AddrPort) {
 			_, _ = c.Do(ctx, addr, endpoint.Call{Path: "/x", Attempt: "1"})
@@ -259,7 +261,7 @@
 			_ = c.ImportKV(ctx, addr, endpoint.KV{Chat: "chat"})
 		},
 	}
-	says := map[string]struct {
+	responses := map[string]struct {
 		status int
 		head   map[string]string
 		want   endpoint.Notice
@@ -271,7 +273,7 @@
 		"a rest with another status": {200, map[string]string{endpoint.HeaderRest: "2"}, endpoint.Notice{}},
 	}
 	for call, do := range calls {
-		for what, c := range says {
+		for what, c := range responses {
 			t.Run(call+" "+what, func(t *testing.T) {
 				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					for name, value := range c.head {
@@ -281,18 +283,18 @@
 				}))
 				defer s.Close()
 				addr := netip.MustParseAddrPort(s.Listener.Addr().String())
-				heard := make(chan endpoint.Notice, 10)
+				notices := make(chan endpoint.Notice, 10)
 				client := endpoint.NewClient(endpoint.ClientConfig{Heard: func(at netip.AddrPort, n endpoint.Notice) {
 					require.Equal(t, addr, at)
-					heard <- n
+					notices <- n
 				}})
 				do(t.Context(), client, addr)
 				client.Close()
 				if c.want == (endpoint.Notice{}) {
-					require.Empty(t, heard)
+					require.Empty(t, notices)
 					return
 				}
-				require.Equal(t, c.want, <-heard)
+				require.Equal(t, c.want, <-notices)
 			})
 		}
 	}
--- a/internal/endpoint/notice.go
+++ b/internal/endpoint/notice.go
@@ -11,41 +11,41 @@
 )
 
 type (
-	// Notice is what an endpoint says of itself in an answer, beside the answer.
+	// Notice is what an endpoint reports about itself in an answer's headers.
 	Notice struct {
-		// Leaving says that it takes no new requests any more, and Incarnation which
-		// of its starts says so; 0 where it does not say.
+		// Leaving is set if the endpoint accepts no new requests. Incarnation is
+		// the incarnation that leaves, 0 if the endpoint does not name it.
 		Leaving     bool
 		Incarnation uint64
-		// Rest is for how long it wants no requests from this node.
+		// Rest is the backoff: how long it wants no requests from this node.
 		Rest time.Duration
 	}
 
-	// listener hears what endpoints say of themselves in all answers that pass.
-	listener struct {
-		next  *http.Transport
-		heard func(addr netip.AddrPort, n Notice)
+	// noticeTransport is a transport that reports the notices in all answers.
+	noticeTransport struct {
+		next     *http.Transport
+		onNotice func(addr netip.AddrPort, n Notice)
 	}
 )
 
 // RoundTrip implements http.RoundTripper.
-func (l listener) RoundTrip(r *http.Request) (*http.Response, error) {
-	resp, err := l.next.RoundTrip(r)
+func (t noticeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	resp, err := t.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
 	n := notice(resp)
 	if addr, err := netip.ParseAddrPort(r.URL.Host); err == nil && n != (Notice{}) {
-		l.heard(addr, n)
+		t.onNotice(addr, n)
 	}
 	return resp, nil
 }
 
 // CloseIdleConnections is what http.Client calls to close them.
-func (l listener) CloseIdleConnections() { l.next.CloseIdleConnections() }
+func (t noticeTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
 
-// notice reads what an endpoint says of itself. A word on leaving that is no number
-// says nothing.
+// notice reads the notice from an answer's headers. It ignores a HeaderLeaving
+// that is not a number.
 func notice(resp *http.Response) (n Notice) {
 	if text := strings.TrimSpace(resp.Header.Get(HeaderLeaving)); text != "" {
 		incarnation, err := strconv.ParseUint(text, 10, 64)
--- a/internal/endpoint/number_test.go
+++ b/internal/endpoint/number_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against this failure: a cut answer passes for whole, or pieces of others are in it.
+// Guards against a truncated answer that is taken for a complete one, and
+// against events of other attempts in an answer.
 func TestStreamChecksEveryEvent(t *testing.T) {
 	numbered := func(n int, e string) string { return fmt.Sprintf("id: %d\n%s", n, e) }
 	one, two := chunkOf("a", "one"), chunkOf("a", "two")
--- a/internal/endpoint/order.go
+++ b/internal/endpoint/order.go
@@ -14,7 +14,7 @@
 
 const orderTimeout = 5 * time.Second
 
-// ErrFenced is returned where an endpoint refused an order whose fencing number
+// ErrFenced is returned when an endpoint refused an order whose fencing number
 // is not above those it has accepted.
 var ErrFenced = errors.New("endpoint: order refused as outdated")
 
@@ -36,9 +36,9 @@
 	}
 )
 
-// Order sends an order. It returns ErrFenced, with the endpoint's number, where
-// the endpoint refused it, and ErrLost where nobody knows whether it was
-// accepted.
+// Order sends an order. It returns ErrFenced, with the endpoint's fencing
+// number, if the endpoint refused it, and ErrLost if it is unknown whether the
+// order was accepted.
 func (c *Client) Order(ctx context.Context, addr netip.AddrPort, o Order) (OrderReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -51,8 +51,7 @@
 		return OrderReply{}, fmt.Errorf("%w: order: %v", ErrNotRun, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	// A repeated order has the same number, so that sending it twice does no
-	// harm.
+	// A resent order has the same fencing number, so that it does no harm.
 	resp, err := c.shared.Do(req)
 	if err != nil {
 		return OrderReply{}, fmt.Errorf("%w: order: %v", ErrLost, err)
--- a/internal/endpoint/resume.go
+++ b/internal/endpoint/resume.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// resumePauses is the time before each try to resume a stream; their number
-// bounds how often one stream is asked for again.
+// resumePauses are the delays before each try to resume a stream; their number
+// limits the tries for one stream.
 var resumePauses = [...]time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond}
 
-// died adds ErrDied to the error of a broken connection where the endpoint has
+// died adds ErrDied to the error of a broken connection if the endpoint has
 // lost the attempt.
 func (s *Stream) died(err error) error {
-	if s.gone && errors.Is(err, errConnection) {
+	if s.attemptLost && errors.Is(err, errConnection) {
 		return fmt.Errorf("%w: %w", ErrDied, err)
 	}
 	return err
 }
 
-// resume asks the endpoint for the rest of a numbered stream and reports
-// whether it goes on. Where it does not, the stream is gone unless the caller
-// gave it up.
+// resume requests the rest of a numbered stream and reports whether the stream
+// continues. If no try succeeds, the attempt is lost unless the caller gave up.
+// A stream without numbers cannot continue; it is lost if the endpoint no
+// longer answers.
 func (s *Stream) resume() bool {
 	a := s.answer
 	if a.client == nil {
@@ -44,11 +45,11 @@
 			_ = rest.Body.Close()
 			return false
 		case !s.numbered:
-			s.gone = errors.Is(err, errConnection)
+			s.attemptLost = errors.Is(err, errConnection)
 			return false
 		}
 	}
-	s.gone = a.ctx.Err() == nil
+	s.attemptLost = a.ctx.Err() == nil
 	return false
 }
 
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -14,7 +14,7 @@
 
 const (
 	maxEventBytes = 1 << 20
-	// noNumber is the number of an event that has none.
+	// noNumber stands for the number of an event that has none.
 	noNumber         = -1
 	streamBufferSize = 4 << 10
 )
@@ -30,30 +30,31 @@
 
 // Stream reads a streamed chat completion, event by event.
 //
-// An endpoint numbers the events of an answer from 0 in the id field, the end
-// mark included. By these numbers a repeated event is dropped and a gap is
-// found, and after a broken connection the stream goes on where it stopped. An
-// answer without numbers is read as it comes and cannot be resumed.
+// An endpoint numbers the events of an answer from 0 in the id field, including
+// the end mark. With the numbers, Stream drops repeated events, detects gaps and
+// resumes where a broken connection stopped it. An answer without numbers is
+// read as received and cannot be resumed.
 type Stream struct {
 	answer *Answer
-	// prefix is how the data of nearly every event begins.
+	// prefix is the start of the data of nearly every event.
 	prefix  []byte
 	attempt string
 	lines   *bufio.Reader
-	// long collects a line that the buffer cannot hold.
+	// long collects a line that exceeds the buffer.
 	long    []byte
 	dropped int
-	// next is the number of the event that comes next.
+	// next is the number of the next expected event.
 	next int
 	// numbered is set once the endpoint numbered an event.
 	numbered bool
-	// finished is set once an event said why the answer finished.
+	// finished is set once an event had a finish reason.
 	finished bool
 	// passed counts the events that Next returned.
 	passed  int
 	resumes int
-	// gone is set once the endpoint no longer knows the attempt.
-	gone bool
+	// attemptLost is set once the endpoint no longer knows the attempt or no
+	// longer answers.
+	attemptLost bool
 }
 
 // NewStream returns the Stream of an answer to the given attempt.
@@ -67,10 +68,10 @@
 }
 
 // Next returns the data of the next event as the endpoint wrote it, valid until
-// the next call; io.EOF after the end mark; or ErrCut where the answer ended
-// without one and could not be resumed. Repeated events and those of other
-// attempts are dropped and counted: a late or crossed answer must never reach
-// another caller.
+// the next call; io.EOF after the end mark; or ErrCut if the answer ended
+// without one or had a bad event, and could not be resumed. Repeated events and
+// those of other attempts are dropped and counted: a late answer, or one to
+// another attempt, must never reach another caller.
 func (s *Stream) Next() ([]byte, error) {
 	for {
 		data, err := s.event()
@@ -79,7 +80,7 @@
 			s.passed++
 			return data, nil
 		case errors.Is(err, io.EOF):
-			s.answer.whole = true
+			s.answer.complete = true
 			return nil, io.EOF
 		case !s.resume():
 			return nil, s.died(err)
@@ -87,24 +88,23 @@
 	}
 }
 
-// More reports whether the data of a further event has already arrived.
+// More reports whether the data of a further event is already buffered.
 func (s *Stream) More() bool {
 	_, after, ok := bytes.Cut(s.peek(), dataField)
 	return ok && bytes.IndexByte(after, '\n') >= 0
 }
 
-// Passed returns how many events Next returned, which is about the tokens of the
-// answer.
+// Passed returns how many events Next returned, roughly the answer's tokens.
 func (s *Stream) Passed() int { return s.passed }
 
 // Dropped returns how many repeated events and events of other attempts were
 // dropped.
 func (s *Stream) Dropped() int { return s.dropped }
 
-// Resumes returns how often the stream was asked for again.
+// Resumes returns how often a resume of the stream was tried.
 func (s *Stream) Resumes() int { return s.resumes }
 
-// Close ends the stream; an endpoint that still runs it is freed.
+// Close ends the stream and cancels the attempt if it may still run.
 func (s *Stream) Close() error { return s.answer.Close() }
 
 // Decode reads the data of an event.
@@ -136,24 +136,24 @@
 			}
 			continue
 		}
-		mine, err := s.take(id, data)
-		if mine || err != nil {
+		accepted, err := s.accept(id, data)
+		if accepted || err != nil {
 			return data, err
 		}
 		s.drop()
 	}
 }
 
-// take checks an event and reports whether it is the next of the attempt.
-func (s *Stream) take(id int, data []byte) (bool, error) {
+// accept checks an event and reports whether it is the next of the attempt.
+func (s *Stream) accept(id int, data []byte) (bool, error) {
 	if due, err := s.due(id); err != nil || !due {
 		return false, err
 	}
-	own, err := s.own(data)
+	belongs, err := s.belongs(data)
 	if err != nil {
 		return false, fmt.Errorf("%w: %v", ErrCut, err)
 	}
-	if !own {
+	if !belongs {
 		return false, nil
 	}
 	s.next++
@@ -162,7 +162,8 @@
 	return true, nil
 }
 
-// due compares an event's number with the one that comes next.
+// due reports whether an event is the next expected one. It returns false for a
+// repeated event and ErrCut for a gap or a missing number.
 func (s *Stream) due(id int) (bool, error) {
 	switch {
 	case id == noNumber && s.numbered:
@@ -170,14 +171,14 @@
 	case id == noNumber:
 		return true, nil
 	case id > s.next:
-		return false, fmt.Errorf("%w: event %d came where %d was due", ErrCut, id, s.next)
+		return false, fmt.Errorf("%w: got event %d, expected %d", ErrCut, id, s.next)
 	}
 	return id == s.next, nil
 }
 
-// end takes the end mark. It counts only after an event that says why the
-// answer finished: an engine that was cut off from its model may still close
-// its stream properly.
+// end checks the end mark. It is valid only after an event with a finish reason:
+// an engine that lost the connection to its model may still close its stream
+// properly.
 func (s *Stream) end(id int) error {
 	if due, err := s.due(id); err != nil {
 		return err
@@ -192,10 +193,10 @@
 	droppedEvents.Inc()
 }
 
-// own reports whether an event belongs to the attempt. Decoding each event
-// would cost most of what a token costs on a node, so only one that does not
-// begin as expected is decoded.
-func (s *Stream) own(data []byte) (bool, error) {
+// belongs reports whether an event belongs to the attempt. Decoding each event
+// would be most of a node's cost per token, so only an event that does not begin
+// with prefix is decoded.
+func (s *Stream) belongs(data []byte) (bool, error) {
 	if bytes.HasPrefix(data, s.prefix) && data[len(data)-1] == '}' {
 		return true, nil
 	}
@@ -208,8 +209,8 @@
 	return head.ID == s.attempt, nil
 }
 
-// line returns the next line. A last line without its end comes with an error:
-// it may have been cut anywhere.
+// line returns the next line. It returns a last line without a newline together
+// with an error, as the line may be truncated anywhere.
 func (s *Stream) line() ([]byte, error) {
 	s.long = s.long[:0]
 	for {
@@ -236,7 +237,7 @@
 	return bytes.TrimLeft(ahead, "\r\n")
 }
 
-// eventNumber returns the number in a line, or otherwise where the line holds
+// eventNumber returns the number in an id line, or otherwise for a line with
 // another field.
 func eventNumber(line []byte, otherwise int) (int, error) {
 	text, ok := bytes.CutPrefix(line, idField)
@@ -250,8 +251,8 @@
 	return number, nil
 }
 
-// finishes reports whether an event says why the answer finished. It is not
-// decoded, which would cost most of what a token costs on a node.
+// finishes reports whether an event has a finish reason. It does not decode the
+// event, which would be most of a node's cost per token.
 func finishes(data []byte) bool {
 	_, after, ok := bytes.Cut(data, finishField)
 	return ok && !bytes.HasPrefix(bytes.TrimLeft(after, " :"), null)
--- a/internal/endpoint/stream_test.go
+++ b/internal/endpoint/stream_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	own    = `{"id":"1f","choices":[{"finish_reason":"stop"}]}`
-	late   = `{"choices":[{"finish_reason":"stop"}],"id":"1f"}`
-	open   = `{"id":"1f","choices":[{"finish_reason":null}]}`
-	others = `{"id":"1f2","choices":[]}`
-	done   = "data: [DONE]\n\n"
+	ownEvent     = `{"id":"1f","choices":[{"finish_reason":"stop"}]}`
+	idLast       = `{"choices":[{"finish_reason":"stop"}],"id":"1f"}`
+	unfinished   = `{"id":"1f","choices":[{"finish_reason":null}]}`
+	otherAttempt = `{"id":"1f2","choices":[]}`
+	done         = "data: [DONE]\n\n"
 
 	streamEvents = 1000
 )
@@ -31,18 +31,18 @@
 		dropped int
 		end     error
 	}{
-		{"whole", "data: " + own + "\n\n" + done, []string{own}, 0, io.EOF},
-		{"id in another place", "data: " + late + "\n\n" + done, []string{late}, 0, io.EOF},
-		{"carriage returns", "data: " + own + "\r\n\r\ndata: [DONE]\r\n\r\n", []string{own}, 0, io.EOF},
-		{"no space", "data:" + own + "\n\n" + done, []string{own}, 0, io.EOF},
-		{"comments and other fields", ": ping\nevent: x\ndata: " + own + "\n\n" + done, []string{own}, 0, io.EOF},
-		{"end mark without a line end", "data: " + own + "\n\ndata: [DONE]", []string{own}, 0, io.EOF},
-		{"another attempt's", "data: " + others + "\n\ndata: " + own + "\n\n" + done, []string{own}, 1, io.EOF},
+		{"whole", "data: " + ownEvent + "\n\n" + done, []string{ownEvent}, 0, io.EOF},
+		{"id in another place", "data: " + idLast + "\n\n" + done, []string{idLast}, 0, io.EOF},
+		{"carriage returns", "data: " + ownEvent + "\r\n\r\ndata: [DONE]\r\n\r\n", []string{ownEvent}, 0, io.EOF},
+		{"no space", "data:" + ownEvent + "\n\n" + done, []string{ownEvent}, 0, io.EOF},
+		{"comments and other fields", ": ping\nevent: x\ndata: " + ownEvent + "\n\n" + done, []string{ownEvent}, 0, io.EOF},
+		{"end mark without a line end", "data: " + ownEvent + "\n\ndata: [DONE]", []string{ownEvent}, 0, io.EOF},
+		{"another attempt's", "data: " + otherAttempt + "\n\ndata: " + ownEvent + "\n\n" + done, []string{ownEvent}, 1, io.EOF},
 		{"long event", "data: " + long + "\n\n" + done, []string{long}, 0, io.EOF},
-		{"end mark before the finish", "data: " + open + "\n\n" + done, []string{open}, 0, endpoint.ErrCut},
-		{"no end mark", "data: " + own + "\n\n", []string{own}, 0, endpoint.ErrCut},
-		{"cut within a line", "data: " + own, nil, 0, endpoint.ErrCut},
-		{"cut within the end mark", "data: " + own + "\n\ndata: [DO", []string{own}, 0, endpoint.ErrCut},
+		{"end mark before the finish", "data: " + unfinished + "\n\n" + done, []string{unfinished}, 0, endpoint.ErrCut},
+		{"no end mark", "data: " + ownEvent + "\n\n", []string{ownEvent}, 0, endpoint.ErrCut},
+		{"cut within a line", "data: " + ownEvent, nil, 0, endpoint.ErrCut},
+		{"cut within the end mark", "data: " + ownEvent + "\n\ndata: [DO", []string{ownEvent}, 0, endpoint.ErrCut},
 		{"broken event", "data: {\"id\":\"1f\"\n\n" + done, nil, 0, endpoint.ErrCut},
 		{"not JSON", "data: hello\n\n" + done, nil, 0, endpoint.ErrCut},
 		{"endless line", "data: " + strings.Repeat("x", 2<<20) + "\n\n" + done, nil, 0, endpoint.ErrCut},
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestStreamTellsWhatHasArrived(t *testing.T) {
+func TestStreamMoreReportsBufferedEvents(t *testing.T) {
 	s := endpoint.NewStream(&endpoint.Answer{Body: io.NopCloser(io.MultiReader(
-		strings.NewReader("data: "+own+"\n\ndata: "+own+"\n\n"), strings.NewReader(done),
+		strings.NewReader("data: "+ownEvent+"\n\ndata: "+ownEvent+"\n\n"), strings.NewReader(done),
 	))}, "1f")
 	for _, more := range []bool{true, false} {
 		_, err := s.Next()
@@ -77,8 +77,8 @@
 }
 
 func FuzzStream(f *testing.F) {
-	f.Add("data: " + own + "\n\n" + done)
-	f.Add("data: " + others + "\n\ndata: {\"id\":\"1f\"\n\n")
+	f.Add("data: " + ownEvent + "\n\n" + done)
+	f.Add("data: " + otherAttempt + "\n\ndata: {\"id\":\"1f\"\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		s := endpoint.NewStream(&endpoint.Answer{Body: io.NopCloser(strings.NewReader(text))}, "1f")
 		for {
--- a/internal/endpoint/wire.go
+++ b/internal/endpoint/wire.go
@@ -4,30 +4,31 @@
 
 // Headers between nodes and endpoints.
 const (
-	// HeaderAttempt names the attempt; the endpoint repeats it.
+	// HeaderAttempt is the attempt's ID; the endpoint repeats it in its answer.
 	HeaderAttempt = "X-Attempt"
 	// HeaderPriority is the request's priority; higher goes first.
 	HeaderPriority = "X-Priority"
 	// HeaderDeadline is the time left, as a Go duration.
 	HeaderDeadline = "X-Deadline"
-	// HeaderNotRun is set on a refusal where the endpoint ran nothing.
+	// HeaderNotRun is set on a refusal if the endpoint ran nothing.
 	HeaderNotRun = "X-Not-Run"
 	// HeaderLeaving is set on all answers of an endpoint that leaves: its
-	// incarnation, or 0 where it has none.
+	// incarnation, or 0 if it has none.
 	HeaderLeaving = "X-Leaving"
-	// HeaderRest says on a refusal for how many seconds the endpoint wants no
-	// requests from this node.
+	// HeaderRest is the backoff on a refusal: the number of seconds in which the
+	// endpoint wants no requests from this node.
 	HeaderRest = "Retry-After"
 	// HeaderChat names the chat whose prefix the engine may reuse.
 	HeaderChat = "X-Chat"
 )
 
-// DoneMark ends a whole stream. It is numbered like the chunks before it.
+// DoneMark is the end mark of a complete stream. It is numbered like the chunks
+// before it.
 const DoneMark = "[DONE]"
 
 type (
-	// ChatRequest is the part of a chat completion request that the system
-	// reads. The endpoint gets the caller's body as it came.
+	// ChatRequest is the part of a chat completion request that nodes read. The
+	// endpoint receives the caller's body unchanged.
 	ChatRequest struct {
 		Model     string    `json:"model"`
 		Messages  []Message `json:"messages"`
@@ -82,11 +83,10 @@
 		Tokens   int      `json:"tokens"`
 		Models   []string `json:"models"`
 		Leaving  bool     `json:"leaving"`
-		// Incarnation changes when the endpoint restarts; 0 where it does not
-		// say.
+		// Incarnation changes when the endpoint restarts; 0 if not reported.
 		Incarnation uint64 `json:"incarnation,omitempty"`
-		// Adapters and Role are what the endpoint was last ordered to, Fence
-		// the highest fencing number it has accepted.
+		// Adapters and Role are those of the last order, Fence is the highest
+		// fencing number that the endpoint has accepted.
 		Adapters []string `json:"adapters,omitempty"`
 		Role     string   `json:"role,omitempty"`
 		Fence    uint64   `json:"fence,omitempty"`
