--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -15,26 +15,27 @@
 		Service string
 		// Method is the HTTP method; empty is POST.
 		Method string
-		// Path is below the service, without a leading slash, with its query.
+		// Path is relative to the service, without a leading slash, with its
+		// query.
 		Path string
 		// Type is the content type of Body.
 		Type string
 		Body []byte
 	}
 
-	// Reply is the whole answer of a plain service.
+	// Reply is the complete response of a plain service.
 	Reply struct {
 		Status int
 		Header http.Header
 		Body   []byte
 		// Node is the node that answered.
 		Node netip.AddrPort
-		// Ticket is the ticket under which the request was sent.
+		// Ticket is the ticket with which the request was sent.
 		Ticket string
 	}
 )
 
-// Call calls a plain service and returns its whole answer. The error is a
+// Call calls a plain service and returns its complete response. The error is a
 // *Refusal, or wraps ErrNoNode or ErrCut.
 func (c *Client) Call(ctx context.Context, r Request) (*Reply, error) {
 	k := call{Options: r.Options, method: r.Method, path: PathServices + r.Service + "/" + r.Path, body: r.Body, header: http.Header{}}
@@ -44,7 +45,7 @@
 	if r.Type != "" {
 		k.header.Set("Content-Type", r.Type)
 	}
-	s, err := c.send(ctx, &c.plain, k)
+	s, err := c.send(ctx, &c.plainCache, k)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -23,17 +23,17 @@
 		Content string `json:"content"`
 	}
 
-	// Chat is a chat that returns: it keeps its messages, its hint and the
-	// nodes that it came to, so that each turn finds what the last one left. It
-	// is safe for concurrent use, one turn at a time.
+	// Chat is a chat of several turns: it keeps its messages, its hint and the
+	// nodes that it uses, so that each turn finds the prefix that the last one
+	// cached. It is safe for concurrent use, one turn at a time.
 	Chat struct {
-		client *Client
-		name   string
-		model  string
-		kept   kept
-		mu     sync.Mutex
-		said   []Message
-		hint   string
+		client   *Client
+		name     string
+		model    string
+		cache    answerCache
+		mu       sync.Mutex
+		messages []Message
+		hint     string
 	}
 
 	chatRequest struct {
@@ -49,23 +49,24 @@
 	return &Chat{client: c, name: name, model: model}
 }
 
-// Messages returns what was said so far, by both sides.
+// Messages returns the messages so far, of both sides.
 func (c *Chat) Messages() []Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.said)
+	return slices.Clone(c.messages)
 }
 
-// Hint returns where the chat's prefix is cached, as the fleet last said.
+// Hint returns where the chat's prefix is cached, as last reported by the
+// fleet.
 func (c *Chat) Hint() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hint
 }
 
-// Ask says something and returns the stream of the answer. Both become part of
-// the chat once the stream was read to its end. The error is a *Refusal, or
-// wraps ErrNoNode.
+// Ask sends a user's message and returns the stream of the answer. Both become
+// part of the chat once the stream has been read to its end. The error is a
+// *Refusal, or wraps ErrNoNode.
 func (c *Chat) Ask(ctx context.Context, text string, o Options) (*Stream, error) {
 	messages := append(c.Messages(), Message{Role: RoleUser, Content: text})
 	body, err := json.Marshal(chatRequest{Model: c.model, Messages: messages, MaxTokens: o.MaxTokens, Stream: true})
@@ -79,24 +80,24 @@
 	if hint := c.Hint(); hint != "" {
 		r.header.Set(HeaderHint, hint)
 	}
-	s, err := c.client.send(ctx, &c.kept, r)
+	s, err := c.client.send(ctx, &c.cache, r)
 	if err != nil {
 		return nil, err
 	}
 	if s.resp.StatusCode != http.StatusOK {
 		defer s.resp.Body.Close()
 		data, _ := io.ReadAll(io.LimitReader(s.resp.Body, maxAnswerBytes))
-		return nil, refusal(s.resp, data)
+		return nil, parseRefusal(s.resp, data)
 	}
 	return newStream(s, func(answer string) {
-		c.keep(append(messages, Message{Role: RoleAssistant, Content: answer}), s.resp.Header.Get(HeaderHint))
+		c.update(append(messages, Message{Role: RoleAssistant, Content: answer}), s.resp.Header.Get(HeaderHint))
 	}), nil
 }
 
-func (c *Chat) keep(said []Message, hint string) {
+func (c *Chat) update(messages []Message, hint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.said = said
+	c.messages = messages
 	if hint != "" {
 		c.hint = hint
 	}
--- a/pkg/entry/client.go
+++ b/pkg/entry/client.go
@@ -15,45 +15,46 @@
 )
 
 const (
-	askTimeout     = 2 * time.Second
+	entryTimeout   = 2 * time.Second
 	maxAnswerBytes = 64 << 10
 	maxReplyBytes  = 64 << 20
 	bearer         = "Bearer "
 )
 
 var (
-	// ErrNoNode is returned where no node could be reached. The request was
-	// not run.
+	// ErrNoNode is returned if no node could be reached. The request was not
+	// run.
 	ErrNoNode = errors.New("entry: no node could be reached")
-	// ErrCut is returned where an answer ended without its mark of
-	// completeness.
+	// ErrCut is returned if a response ended without its end mark or before its
+	// full length.
 	ErrCut = errors.New("entry: answer cut")
-	// ErrAnswer is returned where a node's answer cannot be read.
+	// ErrAnswer is returned if a node's response cannot be read.
 	ErrAnswer = errors.New("entry: bad answer")
 )
 
 type (
 	// Config is the settings of a Client.
 	Config struct {
-		// Addrs is where to ask which nodes to use: any nodes of the fleet.
+		// Addrs are the nodes to ask which nodes to use: any nodes of the
+		// fleet.
 		Addrs []netip.AddrPort
 		// Key is the client account's secret key.
 		Key string
-		// Zone is the caller's availability zone; empty where it has none.
+		// Zone is the caller's availability zone; empty if it has none.
 		Zone string
-		// HTTP sends the requests; nil is a client of its own.
+		// HTTP sends the requests; if nil, the Client has its own.
 		HTTP *http.Client
 	}
 
 	// Client sends requests to the fleet. It is safe for concurrent use.
 	Client struct {
-		config Config
-		http   *http.Client
-		plain  kept
+		config     Config
+		http       *http.Client
+		plainCache answerCache
 	}
 
-	// Options is how a request is to be run; the zero value is a request that
-	// may be repeated.
+	// Options are a request's options; the zero value is for a request that may
+	// be repeated.
 	Options struct {
 		// Once marks a request that must not be repeated.
 		Once bool
@@ -65,8 +66,8 @@
 		MaxTokens int
 	}
 
-	// kept is an entry answer that is kept until it expires.
-	kept struct {
+	// answerCache holds an entry answer until it expires.
+	answerCache struct {
 		mu      sync.Mutex
 		answer  Answer
 		expires time.Time
@@ -82,19 +83,19 @@
 	return client
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Entry asks the fleet which nodes to use for a chat; the empty name is for
-// requests of no chat. It tries one address after the other.
+// requests without a chat. It tries one address after the other.
 func (c *Client) Entry(ctx context.Context, chat string) (Answer, error) {
-	return c.entry(ctx, chat, c.config.Addrs)
+	return c.tryAddrs(ctx, chat, c.config.Addrs)
 }
 
-func (c *Client) entry(ctx context.Context, chat string, addrs []netip.AddrPort) (Answer, error) {
+func (c *Client) tryAddrs(ctx context.Context, chat string, addrs []netip.AddrPort) (Answer, error) {
 	var last error
 	for _, addr := range addrs {
-		a, err := c.ask(ctx, addr, chat)
+		a, err := c.requestEntry(ctx, addr, chat)
 		if err == nil {
 			return a, nil
 		}
@@ -103,12 +104,12 @@
 	return Answer{}, fmt.Errorf("%w: %v", ErrNoNode, last)
 }
 
-func (c *Client) ask(ctx context.Context, addr netip.AddrPort, chat string) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) requestEntry(ctx context.Context, addr netip.AddrPort, chat string) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
 	query := url.Values{"zone": {c.config.Zone}, "chat": {chat}}
 	var a Answer
-	if err := c.read(ctx, http.MethodGet, addr, PathEntry+"?"+query.Encode(), &a, http.StatusOK); err != nil {
+	if err := c.fetchJSON(ctx, http.MethodGet, addr, PathEntry+"?"+query.Encode(), &a, http.StatusOK); err != nil {
 		return a, err
 	}
 	if len(a.Nodes) == 0 {
@@ -117,8 +118,9 @@
 	return a, nil
 }
 
-// read makes a small call and decodes its answer of one of the statuses.
-func (c *Client) read(ctx context.Context, method string, addr netip.AddrPort, path string, into any, statuses ...int) error {
+// fetchJSON makes a call with a small response, and decodes it if it has one of
+// the statuses.
+func (c *Client) fetchJSON(ctx context.Context, method string, addr netip.AddrPort, path string, into any, statuses ...int) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr.String()+path, http.NoBody)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrAnswer, err)
@@ -134,7 +136,7 @@
 		return fmt.Errorf("%w: %v", ErrCut, err)
 	}
 	if !slices.Contains(statuses, resp.StatusCode) {
-		return refusal(resp, data)
+		return parseRefusal(resp, data)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
 		return fmt.Errorf("%w: %v", ErrAnswer, err)
@@ -142,16 +144,16 @@
 	return nil
 }
 
-// get returns the kept answer, or a new one where it has expired.
-func (k *kept) get(ctx context.Context, c *Client, chat string) (Answer, error) {
+// get returns the cached answer, or a new one if it has expired.
+func (k *answerCache) get(ctx context.Context, c *Client, chat string) (Answer, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if time.Now().Before(k.expires) {
 		return k.answer, nil
 	}
-	// The nodes of the old answer may live on where those of the settings
-	// were replaced.
-	a, err := c.entry(ctx, chat, slices.Concat(c.config.Addrs, k.answer.Nodes))
+	// The nodes of the old answer may still run if the configured ones have
+	// been replaced.
+	a, err := c.tryAddrs(ctx, chat, slices.Concat(c.config.Addrs, k.answer.Nodes))
 	if err != nil {
 		return a, err
 	}
@@ -160,15 +162,16 @@
 	return a, nil
 }
 
-// drop forgets the answer, because its nodes are stopping or gone.
-func (k *kept) drop() {
+// invalidate makes the answer expire, because its nodes are stopping or gone.
+func (k *answerCache) invalidate() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expires = time.Time{}
 }
 
-// ticket takes a ticket of the kept answer; empty where there is none.
-func (k *kept) ticket() string {
+// takeTicket removes a ticket from the cached answer and returns it; empty if
+// there is none.
+func (k *answerCache) takeTicket() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.answer.Tickets) == 0 || !time.Now().Before(k.expires) {
--- a/pkg/entry/client_test.go
+++ b/pkg/entry/client_test.go
@@ -18,17 +18,17 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-const whole = "data: {\"choices\":[{\"delta\":{\"content\":\"yes\"}}]}\n\ndata: [DONE]\n\n"
+const completeAnswer = "data: {\"choices\":[{\"delta\":{\"content\":\"yes\"}}]}\n\ndata: [DONE]\n\n"
 
-// fakeNode answers chats as a test says, and entry questions with the nodes it
-// is given.
+// fakeNode responds to chats with a test's handler, and to entry requests with
+// the nodes that it is given.
 type fakeNode struct {
-	server  *httptest.Server
-	mu      sync.Mutex
-	entry   entry.Answer
-	asked   int
-	headers []http.Header
-	bodies  []string
+	server        *httptest.Server
+	mu            sync.Mutex
+	entry         entry.Answer
+	entryRequests int
+	headers       []http.Header
+	bodies        []string
 }
 
 func newNode(t *testing.T, chat http.HandlerFunc) *fakeNode {
@@ -38,7 +38,7 @@
 	mux.HandleFunc(entry.PathEntry, func(w http.ResponseWriter, _ *http.Request) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.asked++
+		n.entryRequests++
 		_ = json.NewEncoder(w).Encode(n.entry)
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -58,7 +58,7 @@
 	return netip.MustParseAddrPort(n.server.Listener.Addr().String())
 }
 
-func answer(text string) http.HandlerFunc {
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(entry.HeaderRan, string(entry.RanYes))
 		_, _ = io.WriteString(w, text)
@@ -75,19 +75,19 @@
 
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// askForTicket refuses what has no ticket.
-func askForTicket(w http.ResponseWriter, r *http.Request) {
+// requireTicket refuses requests without a ticket.
+func requireTicket(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(entry.HeaderTicket) == "" {
 		w.Header().Set(entry.HeaderTicket, "t-fresh")
 		refuse(http.StatusPreconditionRequired, "ticket_required", entry.RanNot)(w, r)
 		return
 	}
-	answer(whole)(w, r)
+	respondWith(completeAnswer)(w, r)
 }
 
-// Guards against this failure: a request runs twice, or a caller gives up though another node
-// could have served it.
-func TestClientGoesToTheNextNodeOnlyWhereThatIsSafe(t *testing.T) {
+// Guards against a request that runs twice, and a caller that gives up although
+// another node could have served it.
+func TestClientTriesNextNodeOnlyWhenSafe(t *testing.T) {
 	tests := []struct {
 		name   string
 		first  http.HandlerFunc
@@ -104,14 +104,14 @@
 		{"hangs up, repeatable", hangUp, false, "", 1, "", ""},
 		{"hangs up, once", hangUp, true, "", 0, "lost", entry.RanUnknown},
 		{"hangs up, once with ticket", hangUp, true, "t1", 1, "", ""},
-		{"asks for a ticket", askForTicket, true, "", 0, "", ""},
-		{"busy, nobody looked at the ticket", refuse(503, "busy", entry.RanUnknown), true, "t1", 1, "", ""},
+		{"asks for a ticket", requireTicket, true, "", 0, "", ""},
+		{"busy, ticket not looked up", refuse(503, "busy", entry.RanUnknown), true, "t1", 1, "", ""},
 		{"the ticket's node is gone", refuse(409, "ticket_unknown", entry.RanUnknown), true, "t1", 0, "ticket_unknown", entry.RanUnknown},
-		{"no refusal of a node", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, false, "", 0, "status", entry.RanUnknown},
+		{"a status without a refusal", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, false, "", 0, "status", entry.RanUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			first, second := newNode(t, test.first), newNode(t, answer(whole))
+			first, second := newNode(t, test.first), newNode(t, respondWith(completeAnswer))
 			first.entry = entry.Answer{KeepMS: 60_000, Nodes: []netip.AddrPort{first.addr(), second.addr()}}
 			if test.ticket != "" {
 				first.entry.Tickets = []string{test.ticket}
@@ -139,21 +139,21 @@
 	}
 }
 
-func TestClientTellsCutAnswers(t *testing.T) {
+func TestClientDetectsCutAnswers(t *testing.T) {
 	cut := `data: {"error":{"type":"cut","ran":"ran","retry_after_ms":7}}` + "\n\n"
 	tests := []struct {
 		name string
 		text string
 		want any
 	}{
-		{"no mark", strings.TrimSuffix(whole, "data: [DONE]\n\n"), entry.ErrCut},
-		{"half a mark", strings.TrimSuffix(whole, "E]\n\n"), entry.ErrCut},
+		{"no end mark", strings.TrimSuffix(completeAnswer, "data: [DONE]\n\n"), entry.ErrCut},
+		{"half an end mark", strings.TrimSuffix(completeAnswer, "E]\n\n"), entry.ErrCut},
 		{"not JSON", "data: {\n\n", entry.ErrCut},
-		{"told by the node", strings.TrimSuffix(whole, "data: [DONE]\n\n") + cut, nil},
+		{"reported by the node", strings.TrimSuffix(completeAnswer, "data: [DONE]\n\n") + cut, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			n := newNode(t, answer(test.text))
+			n := newNode(t, respondWith(test.text))
 			n.entry = entry.Answer{KeepMS: 60_000, Nodes: []netip.AddrPort{n.addr()}}
 			c := entry.New(entry.Config{Addrs: []netip.AddrPort{n.addr()}})
 			defer c.Close()
@@ -174,9 +174,9 @@
 	}
 }
 
-func TestClientKeepsAnswersUntilTheyExpireOrFail(t *testing.T) {
-	n := newNode(t, answer(whole))
-	gone := newNode(t, answer(whole))
+func TestClientCachesEntryAnswers(t *testing.T) {
+	n := newNode(t, respondWith(completeAnswer))
+	gone := newNode(t, respondWith(completeAnswer))
 	n.entry = entry.Answer{KeepMS: 60_000, Nodes: []netip.AddrPort{gone.addr(), n.addr()}}
 	c := entry.New(entry.Config{Addrs: []netip.AddrPort{n.addr()}})
 	defer c.Close()
@@ -190,18 +190,18 @@
 	}
 	ask()
 	ask()
-	require.Equal(t, 1, n.asked)
+	require.Equal(t, 1, n.entryRequests)
 	require.Len(t, gone.headers, 2)
 	gone.server.Close()
 	ask()
 	ask()
-	require.Equal(t, 2, n.asked, "an answer with a dead node is not kept")
+	require.Equal(t, 2, n.entryRequests, "an answer with a dead node is not kept")
 	require.Len(t, chat.Messages(), 8)
 	require.Contains(t, n.bodies[1], `"again"},{"role":"assistant","content":"yes"}`)
 }
 
-func TestClientFindsNoNode(t *testing.T) {
-	n := newNode(t, answer(whole))
+func TestClientReportsUnreachableNodes(t *testing.T) {
+	n := newNode(t, respondWith(completeAnswer))
 	c := entry.New(entry.Config{Addrs: []netip.AddrPort{n.addr()}})
 	defer c.Close()
 	n.server.Close()
@@ -209,7 +209,7 @@
 	require.ErrorIs(t, err, entry.ErrNoNode)
 }
 
-func TestClientChecksTheLengthOfReplies(t *testing.T) {
+func TestClientChecksReplyLength(t *testing.T) {
 	n := newNode(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(entry.HeaderRan, string(entry.RanYes))
 		if strings.HasSuffix(r.URL.Path, "cut") {
@@ -227,11 +227,11 @@
 	require.ErrorIs(t, err, entry.ErrCut)
 }
 
-func TestAgainKeepsOnceToOneRun(t *testing.T) {
-	void := entry.TicketVoid
+func TestAgainRunsOnceRequestsAtMostOnce(t *testing.T) {
+	state := entry.TicketVoid
 	n := newNode(t, func(w http.ResponseWriter, r *http.Request) {
 		require.Equal(t, http.MethodDelete, r.Method)
-		_ = json.NewEncoder(w).Encode(map[string]any{"ticket": "t1", "state": void})
+		_ = json.NewEncoder(w).Encode(map[string]any{"ticket": "t1", "state": state})
 	})
 	n.entry = entry.Answer{KeepMS: 60_000, Nodes: []netip.AddrPort{n.addr()}}
 	c := entry.New(entry.Config{Addrs: []netip.AddrPort{n.addr()}})
@@ -245,8 +245,8 @@
 		ticket string
 	}{
 		{"no node", entry.ErrNoNode, true, "", true, ""},
-		{"not run, may come back", &entry.Refusal{Ran: entry.RanNot, RetryAfterMS: 1, Ticket: "t2"}, true, "", true, "t2"},
-		{"not run, no use", &entry.Refusal{Ran: entry.RanNot, Status: 401}, false, "", false, ""},
+		{"not run, a retry helps", &entry.Refusal{Ran: entry.RanNot, RetryAfterMS: 1, Ticket: "t2"}, true, "", true, "t2"},
+		{"not run, a retry does not help", &entry.Refusal{Ran: entry.RanNot, Status: 401}, false, "", false, ""},
 		{"cut, repeatable", &entry.Refusal{Ran: entry.RanYes}, false, "", true, ""},
 		{"cut, once", &entry.Refusal{Ran: entry.RanYes}, true, "", false, ""},
 		{"cut, once with ticket", &entry.Refusal{Ran: entry.RanYes, Ticket: "t1"}, true, "", true, "t1"},
@@ -256,7 +256,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			void = test.state
+			state = test.state
 			o := entry.Options{Once: test.once}
 			_, ok := c.Again(t.Context(), test.err, &o)
 			require.Equal(t, test.ok, ok)
@@ -265,10 +265,10 @@
 	}
 }
 
-// Guards against this failure: a caller holds a request for unknown of which the node says that
-// it was not run.
-func TestNodesGiveUpBeforeTheirCallers(t *testing.T) {
-	n := newNode(t, answer(whole))
+// Guards against a request that is unknown to the caller although the node
+// reports it as not run, because both time out at once.
+func TestNodesTimeOutBeforeTheirCallers(t *testing.T) {
+	n := newNode(t, respondWith(completeAnswer))
 	n.entry = entry.Answer{KeepMS: 60_000, Nodes: []netip.AddrPort{n.addr()}}
 	c := entry.New(entry.Config{Addrs: []netip.AddrPort{n.addr()}})
 	defer c.Close()
@@ -278,9 +278,9 @@
 		require.NoError(t, err)
 		require.NoError(t, s.Close())
 		cancel()
-		told, err := time.ParseDuration(n.headers[len(n.headers)-1].Get(entry.HeaderTimeout))
+		timeout, err := time.ParseDuration(n.headers[len(n.headers)-1].Get(entry.HeaderTimeout))
 		require.NoError(t, err)
-		require.LessOrEqual(t, told, left-500*time.Millisecond)
-		require.Positive(t, told)
+		require.LessOrEqual(t, timeout, left-500*time.Millisecond)
+		require.Positive(t, timeout)
 	}
 }
--- a/pkg/entry/example_test.go
+++ b/pkg/entry/example_test.go
@@ -12,8 +12,8 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// fleet starts a small deployment for the examples.
-func fleet() *loopback.Fleet {
+// startFleet starts a small deployment for the examples.
+func startFleet() *loopback.Fleet {
 	c := loopback.Thies()
 	c.Nodes = c.Nodes[:2]
 	log := logrus.New()
@@ -29,10 +29,10 @@
 	return f
 }
 
-// A chat that returns keeps its messages and its hint, and goes to another node
-// where the one it used is gone.
+// A chat of several turns keeps its messages and its hint, and uses another
+// node if its own is gone.
 func ExampleClient_Chat() {
-	f := fleet()
+	f := startFleet()
 	defer f.Close()
 	client := entry.New(entry.Config{
 		Addrs: []netip.AddrPort{f.Caller("n1"), f.Caller("n2")},
@@ -60,7 +60,7 @@
 }
 
 func ExampleClient_Call() {
-	f := fleet()
+	f := startFleet()
 	defer f.Close()
 	client := entry.New(entry.Config{Addrs: []netip.AddrPort{f.Caller("n1")}, Key: loopback.Secret("a1")})
 	defer client.Close()
@@ -73,9 +73,9 @@
 	// Output: 200 true
 }
 
-// A refusal says whether the request was run and when to come back.
+// A refusal says whether the request was run and when to retry.
 func ExampleRefusal() {
-	f := fleet()
+	f := startFleet()
 	defer f.Close()
 	client := entry.New(entry.Config{Addrs: []netip.AddrPort{f.Caller("n1")}, Key: "not a key"})
 	defer client.Close()
--- a/pkg/entry/fleet_test.go
+++ b/pkg/entry/fleet_test.go
@@ -12,9 +12,9 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// Guards against this failure: a chat ends with its node.
-func TestChatFollowsOverKilledNodes(t *testing.T) {
-	f := fleet()
+// Guards against a chat that cannot continue after its node has died.
+func TestChatContinuesAfterNodesAreKilled(t *testing.T) {
+	f := startFleet()
 	defer func() { require.NoError(t, f.Close()) }()
 	require.NoError(t, f.StartNode(loopback.NodeConfig{Name: "n3", Zone: "thies-c"}))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -41,7 +41,7 @@
 	require.True(t, ok)
 	require.NoError(t, s.Close())
 	for _, text := range []string{"first", "second"} {
-		s = askUntilWhole(ctx, t, client, chat, text, o)
+		s = askUntilComplete(ctx, t, client, chat, text, o)
 		if text == "first" {
 			require.NoError(t, f.KillNode(names[s.Node()]))
 		}
@@ -50,9 +50,10 @@
 	require.NotEmpty(t, chat.Hint())
 }
 
-// askUntilWhole asks as ask does. The homes of endpoints may have died with
-// their node, so that the fleet says for a while to come back.
-func askUntilWhole(ctx context.Context, t *testing.T, client *entry.Client, chat *entry.Chat, text string, o entry.Options) *entry.Stream {
+// askUntilComplete retries until the answer is complete. Owners of endpoints
+// may have died with their node, so that the fleet asks for retries for a
+// while.
+func askUntilComplete(ctx context.Context, t *testing.T, client *entry.Client, chat *entry.Chat, text string, o entry.Options) *entry.Stream {
 	t.Helper()
 	for {
 		s, err := chat.Ask(ctx, text, o)
--- a/pkg/entry/send.go
+++ b/pkg/entry/send.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// rounds is how often a request asks for nodes: a second answer helps where
-	// the nodes of a kept one are gone.
-	rounds = 2
-	// slackShare is the part of a caller's time that is kept for the way back,
-	// and maxSlack the most of it.
-	slackShare = 10
-	maxSlack   = 500 * time.Millisecond
+	// maxLookups is how often a request looks up nodes: a second lookup helps
+	// if the nodes of a cached answer are gone.
+	maxLookups = 2
+	// marginDivisor sets the part of a caller's time that is reserved for the
+	// way back, a tenth, and maxMargin bounds it.
+	marginDivisor = 10
+	maxMargin     = 500 * time.Millisecond
 )
 
-// Types of refusals after which another node may take the request.
-var elsewhere = map[string]bool{"stopping": true, "not_ready": true, "busy": true}
+// tryNextTypes are the refusals after which another node may accept the
+// request.
+var tryNextTypes = map[string]bool{"stopping": true, "not_ready": true, "busy": true}
 
 type (
 	// call is one request, ready to be sent to any node.
@@ -38,94 +39,95 @@
 		body   []byte
 	}
 
-	// sent is a request that a node has begun to answer.
-	sent struct {
+	// response is a node's response that has begun.
+	response struct {
 		resp   *http.Response
 		node   netip.AddrPort
 		ticket string
 	}
 )
 
-// send sends a call to one node after the other until one answers it.
+// send sends a call to one node after the other until one responds.
 //
-// A request may go to a further node only where the earlier ones certainly did
-// not run it, where it may be repeated, or where a ticket holds it to one run.
-// Anything else could run it twice; the caller then gets a Refusal that says
-// unknown.
-func (c *Client) send(ctx context.Context, k *kept, r call) (*sent, error) {
+// A request is sent to a further node only if the earlier ones certainly did
+// not run it, if it may be repeated, or if a ticket limits it to one run. In
+// all other cases it could run twice; the caller then gets a Refusal with
+// RanUnknown.
+func (c *Client) send(ctx context.Context, cache *answerCache, r call) (*response, error) {
 	var last error
-	for range rounds {
-		a, err := k.get(ctx, c, r.chat)
+	for range maxLookups {
+		a, err := cache.get(ctx, c, r.chat)
 		if err != nil {
 			return nil, errors.Join(last, err)
 		}
 		if r.Once && r.Ticket == "" {
-			r.Ticket = k.ticket()
+			r.Ticket = cache.takeTicket()
 		}
 		for _, addr := range a.Nodes {
-			s, err := c.try(ctx, addr, &r)
+			s, err := c.sendTo(ctx, addr, &r)
 			if err == nil {
 				return s, nil
 			}
 			last = err
-			r.learn(err)
-			if ctx.Err() != nil || !r.mayGoOn(err) {
+			r.updateTicket(err)
+			if ctx.Err() != nil || !r.mayTryNext(err) {
 				return nil, err
 			}
-			k.drop()
+			cache.invalidate()
 		}
 	}
 	return nil, last
 }
 
-// mayGoOn reports whether the call may go to a further node after an error.
-func (r *call) mayGoOn(err error) bool {
+// mayTryNext reports whether the call may be sent to a further node after an
+// error.
+func (r *call) mayTryNext(err error) bool {
 	var refused *Refusal
 	switch {
 	case !errors.As(err, &refused):
 		return true
 	case refused.Ran == RanNot:
-		return elsewhere[refused.Type]
-	case refused.Status == 0 || elsewhere[refused.Type]:
+		return tryNextTypes[refused.Type]
+	case refused.Status == 0 || tryNextTypes[refused.Type]:
 		return !r.Once || r.Ticket != ""
 	default:
 		return false
 	}
 }
 
-// learn takes over the ticket under which to go on. A request that was not run
-// has used its ticket up.
-func (r *call) learn(err error) {
+// updateTicket sets the ticket for the next try from a refusal. A request that
+// was not run has used its ticket up.
+func (r *call) updateTicket(err error) {
 	var refused *Refusal
 	if errors.As(err, &refused) {
 		r.Ticket = refused.Ticket
 	}
 }
 
-// try sends a call to one node. Where the node asks for a ticket, it sends the
-// call again under the one that came along.
-func (c *Client) try(ctx context.Context, addr netip.AddrPort, r *call) (*sent, error) {
+// sendTo sends a call to one node. If the node requires a ticket, it sends the
+// call again with the one in the refusal.
+func (c *Client) sendTo(ctx context.Context, addr netip.AddrPort, r *call) (*response, error) {
 	resp, err := c.roundTrip(ctx, addr, r)
 	if err != nil {
 		return nil, err
 	}
-	fresh := resp.Header.Get(HeaderTicket)
-	if resp.StatusCode == http.StatusPreconditionRequired && fresh != "" && r.Ticket == "" {
+	offered := resp.Header.Get(HeaderTicket)
+	if resp.StatusCode == http.StatusPreconditionRequired && offered != "" && r.Ticket == "" {
 		resp.Body.Close()
-		r.Ticket = fresh
+		r.Ticket = offered
 		if resp, err = c.roundTrip(ctx, addr, r); err != nil {
 			return nil, err
 		}
 	}
 	if resp.Header.Get(HeaderRan) == string(RanYes) && resp.StatusCode < http.StatusInternalServerError {
-		return &sent{resp: resp, node: addr, ticket: r.Ticket}, nil
+		return &response{resp: resp, node: addr, ticket: r.Ticket}, nil
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, lost(err, r.Ticket)
+		return nil, lostRefusal(err, r.Ticket)
 	}
-	refused := refusal(resp, data)
+	refused := parseRefusal(resp, data)
 	refused.Ticket = r.Ticket
 	if refused.Ran == RanNot {
 		refused.Ticket = resp.Header.Get(HeaderTicket)
@@ -145,7 +147,7 @@
 	r.setOptions(ctx, req.Header)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, failure(err, r.Ticket)
+		return nil, transportError(err, r.Ticket)
 	}
 	return resp, nil
 }
@@ -161,35 +163,36 @@
 		h.Set(HeaderPriority, strconv.Itoa(r.Priority))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		h.Set(HeaderTimeout, budget(time.Until(deadline)).String())
+		h.Set(HeaderTimeout, nodeTimeout(time.Until(deadline)).String())
 	}
 }
 
-// budget returns the time that a node gets of the time that is left.
+// nodeTimeout returns the timeout for a node, given the time that the caller
+// has left.
 //
-// A node that may take all of it refuses at the very moment at which the caller
-// gives up; the caller then holds a request for unknown of which the node says
-// that it was not run.
-func budget(left time.Duration) time.Duration {
-	return left - min(left/slackShare, maxSlack)
+// A node that had all of it would refuse at the moment at which the caller
+// gives up; to the caller, a request would be unknown that the node reports as
+// not run.
+func nodeTimeout(left time.Duration) time.Duration {
+	return left - min(left/marginDivisor, maxMargin)
 }
 
-// failure turns the error of an exchange. Where no connection was made, the
-// request was not run.
-func failure(err error, ticket string) error {
+// transportError converts an error of the HTTP client. If no connection was
+// opened, the request was not run.
+func transportError(err error, ticket string) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %v", ErrNoNode, err)
 	}
-	return lost(err, ticket)
+	return lostRefusal(err, ticket)
 }
 
-func lost(err error, ticket string) *Refusal {
+func lostRefusal(err error, ticket string) *Refusal {
 	return &Refusal{Type: "lost", Message: err.Error(), Ran: RanUnknown, Ticket: ticket}
 }
 
-// refusal reads the refusal of a node.
-func refusal(resp *http.Response, data []byte) *Refusal {
+// parseRefusal returns the refusal in a node's response.
+func parseRefusal(resp *http.Response, data []byte) *Refusal {
 	var p Problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Error.Type == "" {
 		p.Error = Refusal{Type: "status", Message: resp.Status, Ran: Ran(resp.Header.Get(HeaderRan))}
--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -16,19 +16,18 @@
 var dataField = []byte("data:")
 
 type (
-	// Stream is an answer that comes piece by piece. It is not safe for
-	// concurrent use.
+	// Stream is a streamed answer. It is not safe for concurrent use.
 	Stream struct {
-		sent  *sent
-		lines *bufio.Scanner
-		text  strings.Builder
-		usage Usage
-		// whole takes the text once the answer is whole.
-		whole func(text string)
-		err   error
+		response *response
+		lines    *bufio.Scanner
+		text     strings.Builder
+		usage    Usage
+		// onComplete is called with the text once the answer is complete.
+		onComplete func(text string)
+		err        error
 	}
 
-	// Usage is what an answer took, in tokens.
+	// Usage is the token usage of an answer.
 	Usage struct {
 		PromptTokens     int `json:"prompt_tokens"`
 		CompletionTokens int `json:"completion_tokens"`
@@ -48,36 +47,37 @@
 	}
 )
 
-func newStream(s *sent, whole func(text string)) *Stream {
+func newStream(s *response, onComplete func(text string)) *Stream {
 	lines := bufio.NewScanner(s.resp.Body)
 	lines.Buffer(nil, maxEventBytes)
-	return &Stream{sent: s, lines: lines, whole: whole}
+	return &Stream{response: s, lines: lines, onComplete: onComplete}
 }
 
 // Next returns the next piece of the answer, io.EOF after the last one of a
-// whole answer, or a *Refusal where the answer was cut; it wraps ErrCut where
-// nobody said so and the answer ended without its mark.
+// complete answer, or a *Refusal if the answer was cut. The Refusal wraps
+// ErrCut if the answer ended without its end mark and the node reported no
+// error.
 func (s *Stream) Next() (string, error) {
 	for s.err == nil {
 		if !s.lines.Scan() {
-			s.err = s.cut(s.lines.Err())
+			s.err = s.cutError(s.lines.Err())
 			break
 		}
 		data, ok := bytes.CutPrefix(s.lines.Bytes(), dataField)
 		if !ok {
 			continue
 		}
-		piece, err := s.take(bytes.TrimSpace(data))
+		text, err := s.parseEvent(bytes.TrimSpace(data))
 		s.err = err
-		if piece != "" {
-			s.text.WriteString(piece)
-			return piece, nil
+		if text != "" {
+			s.text.WriteString(text)
+			return text, nil
 		}
 	}
 	return "", s.err
 }
 
-// ReadAll reads the stream to its end and returns the whole answer.
+// ReadAll reads the stream to its end and returns the complete answer.
 func (s *Stream) ReadAll() (string, error) {
 	for {
 		_, err := s.Next()
@@ -91,40 +91,39 @@
 }
 
 // Node returns the node that answers.
-func (s *Stream) Node() netip.AddrPort { return s.sent.node }
+func (s *Stream) Node() netip.AddrPort { return s.response.node }
 
-// Request returns the name of the request in the fleet's logs and decision
-// traces.
-func (s *Stream) Request() string { return s.sent.resp.Header.Get(HeaderRequest) }
+// Request returns the request's ID in the fleet's logs and decision traces.
+func (s *Stream) Request() string { return s.response.resp.Header.Get(HeaderRequest) }
 
-// Ticket returns the ticket under which the request was sent; empty without.
-func (s *Stream) Ticket() string { return s.sent.ticket }
+// Ticket returns the ticket with which the request was sent; empty if none.
+func (s *Stream) Ticket() string { return s.response.ticket }
 
-// Usage returns what the answer took; zero before the end.
+// Usage returns the answer's token usage; zero before the end.
 func (s *Stream) Usage() Usage { return s.usage }
 
-// Close ends the stream. An engine that still works on it is freed.
+// Close ends the stream and frees the engine if it is still generating.
 func (s *Stream) Close() error {
-	if err := s.sent.resp.Body.Close(); err != nil {
+	if err := s.response.resp.Body.Close(); err != nil {
 		return fmt.Errorf("%w: %v", ErrCut, err)
 	}
 	return nil
 }
 
-// take reads the data of one event.
-func (s *Stream) take(data []byte) (string, error) {
+// parseEvent parses the data of one event and returns its piece of the answer.
+func (s *Stream) parseEvent(data []byte) (string, error) {
 	if string(data) == DoneMark {
-		// Reading on to the end lets the connection serve the next request.
-		_, _ = io.Copy(io.Discard, io.LimitReader(s.sent.resp.Body, maxEventBytes))
-		s.whole(s.text.String())
+		// The connection can be reused once the body has been read to its end.
+		_, _ = io.Copy(io.Discard, io.LimitReader(s.response.resp.Body, maxEventBytes))
+		s.onComplete(s.text.String())
 		return "", io.EOF
 	}
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
-		return "", s.cut(err)
+		return "", s.cutError(err)
 	}
 	if e.Error != nil {
-		e.Error.Ticket = s.sent.ticket
+		e.Error.Ticket = s.response.ticket
 		return "", e.Error
 	}
 	if e.Usage != nil {
@@ -136,7 +135,7 @@
 	return e.Choices[0].Delta.Content, nil
 }
 
-func (s *Stream) cut(err error) *Refusal {
+func (s *Stream) cutError(err error) *Refusal {
 	cause := fmt.Errorf("%w: %v", ErrCut, err)
-	return &Refusal{Type: "cut", Message: cause.Error(), Ran: RanYes, Ticket: s.sent.ticket, cause: cause}
+	return &Refusal{Type: "cut", Message: cause.Error(), Ran: RanYes, Ticket: s.response.ticket, cause: cause}
 }
--- a/pkg/entry/ticket.go
+++ b/pkg/entry/ticket.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// TicketState is what became of the request of a ticket.
+	// TicketState is the state of a ticket's request.
 	TicketState string
 
 	ticketAnswer struct {
@@ -25,26 +25,26 @@
 	}
 )
 
-// Ticket returns what became of the request of a ticket.
+// Ticket returns the state of a ticket's request.
 func (c *Client) Ticket(ctx context.Context, ticket string) (TicketState, error) {
 	return c.ticket(ctx, http.MethodGet, ticket)
 }
 
-// Void gives an unused ticket up. The state void proves that its request was
-// not run and never will be.
+// Void voids an unused ticket. TicketVoid proves that its request was not run
+// and never will be.
 func (c *Client) Void(ctx context.Context, ticket string) (TicketState, error) {
 	return c.ticket(ctx, http.MethodDelete, ticket)
 }
 
 func (c *Client) ticket(ctx context.Context, method, ticket string) (TicketState, error) {
-	a, err := c.plain.get(ctx, c, "")
+	a, err := c.plainCache.get(ctx, c, "")
 	if err != nil {
 		return TicketUnknown, err
 	}
 	var last error
 	for _, addr := range a.Nodes {
 		var answer ticketAnswer
-		last = c.read(ctx, method, addr, PathTickets+url.PathEscape(ticket), &answer, http.StatusOK, http.StatusConflict)
+		last = c.fetchJSON(ctx, method, addr, PathTickets+url.PathEscape(ticket), &answer, http.StatusOK, http.StatusConflict)
 		if last == nil {
 			return answer.State, nil
 		}
--- a/pkg/entry/wire.go
+++ b/pkg/entry/wire.go
@@ -1,6 +1,6 @@
-// Package entry speaks to the fleet as a caller does: it asks which nodes to
-// use, keeps the answer until it expires, sends requests, and tells a whole
-// answer from a cut one.
+// Package entry is the client of the fleet: it asks which nodes to use, caches
+// the answer until it expires, sends requests, and distinguishes complete from
+// cut answers.
 package entry
 
 import (
@@ -11,30 +11,30 @@
 
 // Headers between callers and nodes.
 const (
-	// HeaderChat names the caller's chat; it is kept apart for each client
-	// account.
+	// HeaderChat names the caller's chat; each client account has its own
+	// names.
 	HeaderChat = "X-Chat"
-	// HeaderHint carries the chat's hint, both ways.
+	// HeaderHint carries the chat's hint, in both directions.
 	HeaderHint = "X-Hint"
 	// HeaderOnce marks a request that must not be repeated: "true" or "1".
 	HeaderOnce = "X-Once"
-	// HeaderTimeout is how long the caller waits for the whole answer, as a
-	// Go duration such as 30s.
+	// HeaderTimeout is how long the caller waits for the complete response, as
+	// a Go duration such as 30s.
 	HeaderTimeout = "X-Timeout"
 	// HeaderPriority orders the account's requests; higher goes first. It
-	// cannot rise above the account's own.
+	// cannot exceed the account's own priority.
 	HeaderPriority = "X-Priority"
-	// HeaderRequest names the request in logs and decision traces.
+	// HeaderRequest is the request's ID in logs and decision traces.
 	HeaderRequest = "X-Request-Id"
-	// HeaderRan is whether the request was run; it stands on every answer of
-	// a chat or plain service.
+	// HeaderRan is whether the request was run; every response of a chat or
+	// plain service has it.
 	HeaderRan = "X-Ran"
 	// HeaderTicket carries the ticket of a request that must not be repeated,
-	// and a fresh ticket from a node that asks for one.
+	// and a new ticket from a node that requires one.
 	HeaderTicket = "X-Ticket"
 )
 
-// Paths of the nodes' interface for callers.
+// Paths of the nodes' API for callers.
 const (
 	PathEntry    = "/v1/entry"
 	PathChat     = "/v1/chat/completions"
@@ -42,16 +42,16 @@
 	PathTickets  = "/v1/tickets/"
 )
 
-// DoneMark is the data of the event that ends a whole stream.
+// DoneMark is the data of the event that ends a complete stream.
 const DoneMark = "[DONE]"
 
-// What is known of a request.
+// Whether a request was run, as far as is known.
 const (
-	// RanNot means that no endpoint ran the request, for certain.
+	// RanNot means that certainly no endpoint ran the request.
 	RanNot Ran = "not_run"
 	// RanUnknown means that an endpoint may have run the request.
 	RanUnknown Ran = "unknown"
-	// RanYes means that an endpoint ran the request, wholly or in part.
+	// RanYes means that an endpoint ran the request, completely or in part.
 	RanYes Ran = "ran"
 )
 
@@ -59,14 +59,15 @@
 	// Ran is whether a request was run.
 	Ran string
 
-	// Answer says which nodes a caller uses.
+	// Answer is the response to an entry request: the nodes for a caller to
+	// use.
 	Answer struct {
-		// Nodes is where to connect, best first.
+		// Nodes are the addresses to connect to, best first.
 		Nodes []netip.AddrPort `json:"nodes"`
 		// KeepMS is how long the answer may be kept, in milliseconds.
 		KeepMS int64 `json:"keep_ms"`
-		// Tickets are for requests that must not be repeated; they come only
-		// to a caller that shows its key.
+		// Tickets are for requests that must not be repeated; only a caller
+		// that sends its key gets them.
 		Tickets []string `json:"tickets,omitempty"`
 	}
 
@@ -76,19 +77,20 @@
 		Error Refusal `json:"error"`
 	}
 
-	// Refusal is why a request got no whole answer. It is an error.
+	// Refusal is the reason for which a request got no complete answer. It is
+	// an error.
 	Refusal struct {
 		Type    string `json:"type"`
 		Message string `json:"message"`
 		Ran     Ran    `json:"ran"`
-		// RetryAfterMS is when the caller may come back, in milliseconds; 0
-		// where coming back does not help.
+		// RetryAfterMS is the delay before a retry, in milliseconds; 0 if a
+		// retry does not help.
 		RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-		// Status is the HTTP status; 0 where the refusal ended a stream or no
-		// node answered.
+		// Status is the HTTP status; 0 if the refusal ended a stream or no node
+		// responded.
 		Status int `json:"-"`
-		// Ticket is the ticket under which to send the request again; it gets
-		// the answer that was made, if one was.
+		// Ticket is the ticket with which to retry the request; if the request
+		// was answered, the retry gets that answer.
 		Ticket string `json:"-"`
 
 		cause error
@@ -98,13 +100,12 @@
 // Keep returns how long the answer may be kept.
 func (a Answer) Keep() time.Duration { return time.Duration(a.KeepMS) * time.Millisecond }
 
-// RetryAfter returns when the caller may come back; 0 where coming back does
-// not help.
+// RetryAfter returns the delay before a retry; 0 if a retry does not help.
 func (r *Refusal) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMS) * time.Millisecond
 }
 
-// Unwrap returns the error that the refusal stands for, if any.
+// Unwrap returns the refusal's cause, if any.
 func (r *Refusal) Unwrap() error { return r.cause }
 
 // Error describes the refusal.
