--- a/cmd/account/main.go
+++ b/cmd/account/main.go
@@ -1,5 +1,5 @@
-// Command account reads nodes' logs and says what was lost of callers' requests,
-// when and for what reason.
+// Command account reports from nodes' logs which of callers' requests were
+// lost, when and for what reason.
 package main
 
 import (
@@ -29,31 +29,31 @@
 	if c.Late < 0 || c.Late > 1 {
 		return fmt.Errorf("account: --late %v is not between 0 and 1", c.Late)
 	}
-	in, done, err := c.open()
+	in, closeLogs, err := c.open()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeLogs()
 	if c.Request != "" {
-		b, err := account.ReadBelief(in, c.Request)
+		view, err := account.ReadEndpointView(in, c.Request)
 		if err != nil {
 			return err
 		}
-		return b.Table(os.Stdout)
+		return view.Table(os.Stdout)
 	}
-	a, err := account.Read(in)
+	report, err := account.Read(in)
 	if err != nil {
 		return err
 	}
 	if c.Chart != "" {
-		if err := a.Chart(c.Chart); err != nil {
+		if err := report.Chart(c.Chart); err != nil {
 			return err
 		}
 	}
-	return a.Table(os.Stdout, c.Late)
+	return report.Table(os.Stdout, c.Late)
 }
 
-// open returns the logs one after the other.
+// open returns the concatenated logs and a function that closes them.
 func (c *command) open() (io.Reader, func(), error) {
 	if len(c.Logs) == 0 {
 		return os.Stdin, func() {}, nil
@@ -62,7 +62,7 @@
 	var files []*os.File
 	done := func() {
 		for _, f := range files {
-			// Nothing was written.
+			// An error does not matter: nothing was written.
 			_ = f.Close()
 		}
 	}
--- a/internal/account/belief.go
+++ b/internal/account/belief.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// believedWithin is how far from the request's attempt another node's choice
-	// of the same endpoint may be to be compared: loads change within seconds.
-	believedWithin = 2 * time.Second
-	// before is for how long before the attempt a node's own events are shown.
-	before = 10 * time.Second
-	// beliefRows bounds the table of other nodes.
-	beliefRows = 20
+	// compareWindow is how far from the request's attempt another node's
+	// attempt at the same endpoint may be to be compared: loads change within
+	// seconds.
+	compareWindow = 2 * time.Second
+	// eventWindow is how far from the attempt events are shown; a node's own
+	// events are shown only before it.
+	eventWindow = 10 * time.Second
+	// maxOtherRows bounds the table of other nodes.
+	maxOtherRows = 20
 )
 
-// ErrRequest is returned where no line of the logs has an attempt of a request.
+// ErrRequest is returned if no line of the logs has an attempt of a request.
 var ErrRequest = errors.New("account: no attempt of this request")
 
 type (
-	// Attempt is one send of a request to an endpoint, and what its node
-	// believed of the endpoint then.
-	Attempt struct {
+	// Record is a log line: an attempt of a request, with its node's view of
+	// the endpoint then, or an event.
+	Record struct {
 		At       time.Time `json:"time"`
 		Node     string    `json:"node"`
 		Event    string    `json:"event"`
@@ -37,38 +39,40 @@
 		Load     int       `json:"load"`
 		Mean     float64   `json:"mean"`
 		Ready    int       `json:"ready"`
-		// Age is how old the other nodes' part of the load was.
-		Age int64 `json:"loads_ms"`
-		// Reported is what the endpoint said of its load in its answer.
+		// LoadsAge is the age of the other nodes' part of the load, in
+		// milliseconds.
+		LoadsAge int64 `json:"loads_ms"`
+		// Reported is the load that the endpoint reported in its response.
 		Reported int    `json:"reported"`
 		Peer     string `json:"peer"`
 		Draining bool   `json:"draining"`
-		// Leaving says that the endpoint said in its answer that it leaves, and Rest
-		// for how many milliseconds it asked for nothing more.
+		// Leaving says that the endpoint's response had a leave notice, and
+		// Backoff for how many milliseconds it asked for no more requests.
 		Leaving bool  `json:"leaving"`
-		Rest    int64 `json:"rest_ms"`
+		Backoff int64 `json:"rest_ms"`
 	}
 
-	// Belief is what nodes believed of one endpoint around one attempt.
-	Belief struct {
-		Attempt Attempt
-		// Others are the nearest attempts of other nodes at the endpoint, the
-		// one that believed something most different first.
-		Others []Attempt
-		// Known is what nodes logged of the endpoint's state around it, by time:
-		// that it is known, drains or is gone, and what it told the node itself.
-		Known []Attempt
-		// Events are what the node logged of its peers, its relay and the store
-		// before the attempt.
-		Events []Attempt
+	// EndpointView is the nodes' view of one endpoint around one attempt.
+	EndpointView struct {
+		Attempt Record
+		// OtherNodes are the nearest attempts of other nodes at the endpoint,
+		// the one with the most different load first.
+		OtherNodes []Record
+		// EndpointEvents are the nodes' lines about the endpoint's state around
+		// the attempt, by time: that it is known, drains or is gone, and its
+		// notices to the attempt's node.
+		EndpointEvents []Record
+		// NodeEvents are the node's lines about its peers, its relay, the
+		// store, its configuration and its start, before the attempt.
+		NodeEvents []Record
 	}
 )
 
-// ReadBelief reads logs of any number of nodes, and returns what they believed
-// of the endpoint to which a request was sent last.
-func ReadBelief(r io.Reader, request string) (*Belief, error) {
-	var lines []Attempt
-	err := scan(r, func(l Attempt) {
+// ReadEndpointView reads logs of any number of nodes, and returns their view of
+// the endpoint to which a request was sent last.
+func ReadEndpointView(r io.Reader, request string) (*EndpointView, error) {
+	var lines []Record
+	err := scanLines(r, func(l Record) {
 		if l.Event != "" {
 			lines = append(lines, l)
 		}
@@ -76,113 +80,114 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Belief{}
+	v := &EndpointView{}
 	for _, l := range lines {
-		if l.Event == eventAttempt && l.Request == request && !l.At.Before(b.Attempt.At) {
-			b.Attempt = l
+		if l.Event == eventAttempt && l.Request == request && !l.At.Before(v.Attempt.At) {
+			v.Attempt = l
 		}
 	}
-	if b.Attempt.Endpoint == "" {
+	if v.Attempt.Endpoint == "" {
 		return nil, fmt.Errorf("%w: %s", ErrRequest, request)
 	}
-	nearest := map[string]Attempt{}
+	nearest := map[string]Record{}
 	for _, l := range lines {
-		b.take(l, nearest)
+		v.add(l, nearest)
 	}
 	for _, a := range nearest {
-		b.Others = append(b.Others, a)
+		v.OtherNodes = append(v.OtherNodes, a)
 	}
-	b.sort()
-	return b, nil
+	v.sort()
+	return v, nil
 }
 
-// take sorts a line in by what it says of the attempt.
-func (b *Belief) take(l Attempt, nearest map[string]Attempt) {
-	apart := b.distance(l)
+// add adds a line to the parts of the view that it belongs to.
+func (v *EndpointView) add(l Record, nearest map[string]Record) {
+	distance := v.distance(l)
 	switch l.Event {
 	case eventAttempt:
-		if l.says(b.Attempt) && apart <= before {
-			b.Known = append(b.Known, l)
+		if l.hasNotice(v.Attempt) && distance <= eventWindow {
+			v.EndpointEvents = append(v.EndpointEvents, l)
 		}
-		if l.Endpoint != b.Attempt.Endpoint || l.Node == b.Attempt.Node || apart > believedWithin {
+		if l.Endpoint != v.Attempt.Endpoint || l.Node == v.Attempt.Node || distance > compareWindow {
 			return
 		}
-		if known, ok := nearest[l.Node]; !ok || apart < b.distance(known) {
+		if current, ok := nearest[l.Node]; !ok || distance < v.distance(current) {
 			nearest[l.Node] = l
 		}
 	case "endpoint", "endpoint.removed", "endpoint.lapsed", "endpoint.leaving", "endpoint.withheld", "endpoint.released":
-		if l.Endpoint == b.Attempt.Endpoint && apart <= before {
-			b.Known = append(b.Known, l)
+		if l.Endpoint == v.Attempt.Endpoint && distance <= eventWindow {
+			v.EndpointEvents = append(v.EndpointEvents, l)
 		}
 	case "node.lost", "node.heard", "relay.lost", "relay.found", "store.lost", "store.regained", "pull.failed", "record.differs", "config", "start":
-		if l.Node == b.Attempt.Node && !l.At.After(b.Attempt.At) && apart <= before {
-			b.Events = append(b.Events, l)
+		if l.Node == v.Attempt.Node && !l.At.After(v.Attempt.At) && distance <= eventWindow {
+			v.NodeEvents = append(v.NodeEvents, l)
 		}
 	}
 }
 
-// says reports whether the endpoint of an attempt said something of itself in another
-// answer to the same node.
-func (a Attempt) says(of Attempt) bool {
-	return a.Node == of.Node && a.Endpoint == of.Endpoint && (a.Leaving || a.Rest > 0)
+// hasNotice reports whether r records a response of an attempt's endpoint to
+// the same node, with a notice.
+func (r Record) hasNotice(attempt Record) bool {
+	return r.Node == attempt.Node && r.Endpoint == attempt.Endpoint && (r.Leaving || r.Backoff > 0)
 }
 
-// word is what a line says of an endpoint's state.
-func (a Attempt) word() string {
+// state returns the endpoint's state according to a line, empty if it has none.
+func (r Record) state() string {
 	switch {
-	case a.Draining:
+	case r.Draining:
 		return "draining"
-	case a.Leaving:
+	case r.Leaving:
 		return "says that it leaves"
-	case a.Rest > 0:
-		return "asks for rest of " + ms(a.Rest).String()
+	case r.Backoff > 0:
+		return "asks for rest of " + ms(r.Backoff).String()
 	}
 	return ""
 }
 
-func (b *Belief) distance(l Attempt) time.Duration { return l.At.Sub(b.Attempt.At).Abs() }
+func (v *EndpointView) distance(l Record) time.Duration { return l.At.Sub(v.Attempt.At).Abs() }
 
-// sort puts the nodes that believed something most different from the middle
-// first, and the rest by time.
-func (b *Belief) sort() {
-	loads := []int{b.Attempt.Load}
-	for _, a := range b.Others {
+// sort orders the other nodes by how far their load is from the median, the
+// farthest first, and the events by time.
+func (v *EndpointView) sort() {
+	loads := []int{v.Attempt.Load}
+	for _, a := range v.OtherNodes {
 		loads = append(loads, a.Load)
 	}
 	slices.Sort(loads)
-	middle := loads[len(loads)/2]
-	apart := func(a Attempt) int { return max(a.Load-middle, middle-a.Load) }
-	slices.SortFunc(b.Others, func(x, y Attempt) int {
-		return cmp.Or(cmp.Compare(apart(y), apart(x)), cmp.Compare(x.Node, y.Node))
+	median := loads[len(loads)/2]
+	deviation := func(a Record) int { return max(a.Load-median, median-a.Load) }
+	slices.SortFunc(v.OtherNodes, func(x, y Record) int {
+		return cmp.Or(cmp.Compare(deviation(y), deviation(x)), cmp.Compare(x.Node, y.Node))
 	})
-	byTime := func(x, y Attempt) int { return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.Node, y.Node)) }
-	slices.SortFunc(b.Known, byTime)
-	slices.SortFunc(b.Events, byTime)
+	byTime := func(x, y Record) int { return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.Node, y.Node)) }
+	slices.SortFunc(v.EndpointEvents, byTime)
+	slices.SortFunc(v.NodeEvents, byTime)
 }
 
-// Table writes what the node believed, and then the others.
-func (b *Belief) Table(w io.Writer) error {
+// Table writes the view of the attempt's node, those of the others, and the
+// events.
+func (v *EndpointView) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	row := func(cells ...any) {
+	writeRow := func(cells ...any) {
 		for _, c := range cells {
-			// Errors come with Flush.
+			// Flush returns the errors.
 			_, _ = fmt.Fprintf(t, "%v\t", c)
 		}
 		_, _ = fmt.Fprintln(t)
 	}
-	since := func(a Attempt) string { return fmt.Sprintf("%+.3f s", a.At.Sub(b.Attempt.At).Seconds()) }
-	row("endpoint", b.Attempt.Endpoint, "result", b.Attempt.Result, b.Attempt.Cause)
-	row("node", "when", "load", "mean", "ready", "age", "endpoint's word")
-	for _, a := range slices.Concat([]Attempt{b.Attempt}, b.Others[:min(len(b.Others), beliefRows)]) {
-		row(a.Node, since(a), a.Load, a.Mean, a.Ready, ms(a.Age), a.Reported)
+	since := func(a Record) string { return fmt.Sprintf("%+.3f s", a.At.Sub(v.Attempt.At).Seconds()) }
+	writeRow("endpoint", v.Attempt.Endpoint, "result", v.Attempt.Result, v.Attempt.Cause)
+	writeRow("node", "when", "load", "mean", "ready", "age", "endpoint's word")
+	for _, a := range slices.Concat([]Record{v.Attempt}, v.OtherNodes[:min(len(v.OtherNodes), maxOtherRows)]) {
+		writeRow(a.Node, since(a), a.Load, a.Mean, a.Ready, ms(a.LoadsAge), a.Reported)
 	}
-	row("of the endpoint")
-	for _, a := range b.Known {
-		row(a.Node, since(a), a.Event, a.word())
+	writeRow("of the endpoint")
+	for _, a := range v.EndpointEvents {
+		writeRow(a.Node, since(a), a.Event, a.state())
 	}
-	row("at the node before")
-	for _, a := range b.Events {
-		row(a.Node, since(a), a.Event, a.Peer)
+	writeRow("at the node before")
+	for _, a := range v.NodeEvents {
+		writeRow(a.Node, since(a), a.Event, a.Peer)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("account: %w", err)
--- a/internal/account/belief_test.go
+++ b/internal/account/belief_test.go
@@ -10,7 +10,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/account"
 )
 
-func chose(when int, node, request, endpoint string, load int) string {
+func choice(when int, node, request, endpoint string, load int) string {
 	return fmt.Sprintf(`{"time":%q,"event":"attempt","node":%q,"request":%q,"endpoint":%q,"load":%d,"mean":3,"ready":5,"loads_ms":200,"result":"answered"}`,
 		at(when), node, request, endpoint, load)
 }
@@ -19,14 +19,14 @@
 	return fmt.Sprintf(`{"time":%q,"event":%q,"node":%q%s}`, at(when), name, node, more)
 }
 
-// Of many nodes the one that believed something else is found from the id of a
+// Among many nodes, the one whose view differs is found from the ID of a
 // request that it sent to an endpoint which had left.
-func TestNodeThatBelievedSomethingElseIsFound(t *testing.T) {
+func TestNodeWithDifferentViewIsFound(t *testing.T) {
 	log := []string{
 		event(500, "n7", "relay.lost", `,"peer":"n1"`),
-		chose(2000, "n7", "other", "e1", 9),
-		chose(9000, "n7", "bad", "e1", 0),
-		chose(100, "n3", "old", "e1", 50),
+		choice(2000, "n7", "other", "e1", 9),
+		choice(9000, "n7", "bad", "e1", 0),
+		choice(100, "n3", "old", "e1", 50),
 		event(7000, "n1", "endpoint", `,"endpoint":"e1","draining":true`),
 		event(7010, "n2", "endpoint", `,"endpoint":"e1","draining":true`),
 		event(9500, "n7", "endpoint", `,"endpoint":"e1","draining":true`),
@@ -38,24 +38,24 @@
 		event(8000, "n3", "node.lost", `,"peer":"n2"`),
 	}
 	for i := range 30 {
-		log = append(log, chose(8000+i, fmt.Sprint("m", i), fmt.Sprint("r", i), "e1", 4), chose(8100+i, fmt.Sprint("m", i), fmt.Sprint("q", i), "e2", 99))
+		log = append(log, choice(8000+i, fmt.Sprint("m", i), fmt.Sprint("r", i), "e1", 4), choice(8100+i, fmt.Sprint("m", i), fmt.Sprint("q", i), "e2", 99))
 	}
-	log = append(log, chose(8990, "m3", "near", "e1", 12))
-	b, err := account.ReadBelief(strings.NewReader("no line\n"+strings.Join(log, "\n")), "bad")
+	log = append(log, choice(8990, "m3", "near", "e1", 12))
+	view, err := account.ReadEndpointView(strings.NewReader("no line\n"+strings.Join(log, "\n")), "bad")
 	require.NoError(t, err)
-	require.Equal(t, "n7", b.Attempt.Node)
-	require.Len(t, b.Others, 30)
-	require.Equal(t, "near", b.Others[0].Request)
-	require.Len(t, b.Known, 6)
-	require.Equal(t, "n7", b.Known[5].Node)
-	require.Len(t, b.Events, 2)
+	require.Equal(t, "n7", view.Attempt.Node)
+	require.Len(t, view.OtherNodes, 30)
+	require.Equal(t, "near", view.OtherNodes[0].Request)
+	require.Len(t, view.EndpointEvents, 6)
+	require.Equal(t, "n7", view.EndpointEvents[5].Node)
+	require.Len(t, view.NodeEvents, 2)
 	var out strings.Builder
-	require.NoError(t, b.Table(&out))
+	require.NoError(t, view.Table(&out))
 	require.Contains(t, out.String(), "e1")
 	require.Contains(t, out.String(), "+0.500 s")
 	for _, word := range []string{"draining", "says that it leaves", "asks for rest of 3"} {
 		require.Contains(t, out.String(), word)
 	}
-	_, err = account.ReadBelief(strings.NewReader(strings.Join(log, "\n")), "unknown")
+	_, err = account.ReadEndpointView(strings.NewReader(strings.Join(log, "\n")), "unknown")
 	require.ErrorIs(t, err, account.ErrRequest)
 }
--- a/internal/account/read.go
+++ b/internal/account/read.go
@@ -1,5 +1,6 @@
-// Package account says from the nodes' logs what became of callers' requests:
-// which were answered in time, late or not at all, when, and for what reason.
+// Package account reports the outcomes of callers' requests from the nodes'
+// logs: which were answered in time, late or not at all, when, and for what
+// reason.
 package account
 
 import (
@@ -15,40 +16,41 @@
 )
 
 const (
-	// maxLine bounds a line of a log.
+	// maxLine bounds a line of a log, in bytes.
 	maxLine = 1 << 20
-	// returnWithin is how long after a refusal the same request counts as the
-	// caller's next try: the longest that callers wait for an answer today.
-	returnWithin = 15 * time.Second
+	// retryWindow is how long after a refusal the same request counts as the
+	// caller's retry: the longest that callers wait for an answer today.
+	retryWindow = 15 * time.Second
 
 	eventAttempt = "attempt"
 	eventRefused = "refused"
 
-	resultAnswered = "answered"
-	resultGone     = "caller-gone"
+	resultAnswered   = "answered"
+	resultCallerGone = "caller-gone"
 )
 
 // ErrLog is returned for logs that hold no line about a request.
 var ErrLog = errors.New("account: no line about a request")
 
 type (
-	// line is what the account needs of a line about a request.
+	// line has the fields that are used of a line about a request.
 	line struct {
-		At      time.Time `json:"time"`
-		Event   string    `json:"event"`
-		Request string    `json:"request"`
-		Route   string    `json:"route"`
-		Print   string    `json:"print"`
-		Result  string    `json:"result"`
-		Reason  string    `json:"reason"`
-		Status  int       `json:"status"`
-		Cut     bool      `json:"cut"`
-		// Age is since the request's arrival, Took since the attempt's start, and
-		// First from there to the answer's beginning.
+		At          time.Time `json:"time"`
+		Event       string    `json:"event"`
+		Request     string    `json:"request"`
+		Route       string    `json:"route"`
+		Fingerprint string    `json:"print"`
+		Result      string    `json:"result"`
+		Reason      string    `json:"reason"`
+		Status      int       `json:"status"`
+		Cut         bool      `json:"cut"`
+		// Age is the time since the request's arrival, Took the time since the
+		// attempt's start, and First the time from there to the start of the
+		// answer.
 		Age     int64 `json:"age_ms"`
 		Took    int64 `json:"took_ms"`
 		First   int64 `json:"first_ms"`
-		Reading int64 `json:"reading_ms"`
+		Prefill int64 `json:"reading_ms"`
 		Due     int64 `json:"due_ms"`
 	}
 
@@ -59,26 +61,26 @@
 		refused        *line
 	}
 
-	// call is what a caller wanted once, in one try or more.
+	// call is a caller's request with its retries.
 	call struct {
-		route string
-		due   time.Duration
-		tries []*try
+		route     string
+		objective time.Duration
+		tries     []*try
 	}
 )
 
-// Read reads logs of any number of nodes. Lines may bear something before the
-// JSON, such as the node's name; those that are none are passed over.
-func Read(r io.Reader) (*Account, error) {
+// Read reads logs of any number of nodes. Lines may have a prefix before the
+// JSON, such as the node's name; lines without JSON are skipped.
+func Read(r io.Reader) (*Report, error) {
 	tries := map[string]*try{}
-	err := scan(r, func(l line) {
+	err := scanLines(r, func(l line) {
 		if l.Request == "" || (l.Event != eventAttempt && l.Event != eventRefused) {
 			return
 		}
 		if tries[l.Request] == nil {
 			tries[l.Request] = &try{}
 		}
-		tries[l.Request].take(l)
+		tries[l.Request].add(l)
 	})
 	if err != nil {
 		return nil, err
@@ -86,11 +88,11 @@
 	if len(tries) == 0 {
 		return nil, ErrLog
 	}
-	return newAccount(join(tries)), nil
+	return newReport(groupCalls(tries)), nil
 }
 
-// scan calls a function with each line that holds JSON, decoded.
-func scan[T any](r io.Reader, do func(l T)) error {
+// scanLines calls fn with each line that holds JSON, decoded.
+func scanLines[T any](r io.Reader, fn func(l T)) error {
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, maxLine)
 	for in.Scan() {
@@ -100,7 +102,7 @@
 		if begin < 0 || json.Unmarshal(text[begin:], &l) != nil {
 			continue
 		}
-		do(l)
+		fn(l)
 	}
 	if err := in.Err(); err != nil {
 		return fmt.Errorf("account: %w", err)
@@ -108,7 +110,7 @@
 	return nil
 }
 
-func (t *try) take(l line) {
+func (t *try) add(l line) {
 	arrived := l.At.Add(-ms(l.Age))
 	if t.arrived.IsZero() || arrived.Before(t.arrived) {
 		t.arrived = arrived
@@ -123,9 +125,9 @@
 	t.attempts = append(t.attempts, l)
 }
 
-// join puts tries of the same request together, where one follows another that
-// was not answered.
-func join(tries map[string]*try) []*call {
+// groupCalls groups tries into calls: a try is a retry if it follows one of the
+// same request that was not answered.
+func groupCalls(tries map[string]*try) []*call {
 	type named struct {
 		id string
 		*try
@@ -142,10 +144,10 @@
 	open := map[string]*call{}
 	for _, t := range all {
 		first := t.any()
-		name := first.Route + " " + first.Print
+		name := first.Route + " " + first.Fingerprint
 		c := open[name]
-		if first.Print == "" || c == nil || c.answered() || t.arrived.Sub(c.last().ended) > returnWithin {
-			c = &call{route: first.Route, due: ms(first.Due)}
+		if first.Fingerprint == "" || c == nil || c.answered() || t.arrived.Sub(c.last().ended) > retryWindow {
+			c = &call{route: first.Route, objective: ms(first.Due)}
 			calls = append(calls, c)
 			open[name] = c
 		}
@@ -154,7 +156,8 @@
 	return calls
 }
 
-// any returns one of the try's lines.
+// any returns one of the try's lines: its first attempt, or its refusal if it
+// has none.
 func (t *try) any() line {
 	if len(t.attempts) > 0 {
 		return t.attempts[0]
