--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -8,9 +8,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-// admit waits for the request's turn within its account's share. A request whose
-// turn would come after its deadline is refused at once: nothing has run, and
-// the caller still has time to come back or go elsewhere.
+// admit waits until the request fits its account's rate limit. A request that
+// would have to wait past its deadline is refused at once, not at the deadline:
+// nothing has run, and the caller still has time to retry or use another service.
 func (d *Dispatcher) admit(ctx context.Context, req route.Request) *Refusal {
 	if d.config.Meter != nil && req.Model != "" {
 		d.config.Meter.Add(time.Now(), req.Model, req.Input+req.Output)
@@ -32,15 +32,16 @@
 		case limit.StepRefuse:
 			return &Refusal{Reason: route.ReasonLimited, RetryAfter: step.RetryAfter, NotRun: true}
 		}
-		if !await(ctx, step.Until, entry.Wake()) {
+		if !waitForWake(ctx, step.Until, entry.Wake()) {
 			entry.Cancel()
 			return &Refusal{Reason: route.ReasonDeadline, NotRun: true}
 		}
 	}
 }
 
-// await waits for a time or a wake. It reports false where ctx ended first.
-func await(ctx context.Context, until time.Time, wake <-chan struct{}) bool {
+// waitForWake blocks until the given time or a receive from wake. It returns false if
+// ctx ends first.
+func waitForWake(ctx context.Context, until time.Time, wake <-chan struct{}) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
--- a/internal/dispatch/admit_test.go
+++ b/internal/dispatch/admit_test.go
@@ -15,8 +15,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-func TestRequestOverItsShareIsRefusedAtOnceOrWaits(t *testing.T) {
-	// Guards against this failure: a caller learns at its deadline that it never had a chance.
+// Guards against a request over its account's rate that is refused only at its deadline,
+// though it was known from the start that it could not be admitted before.
+func TestRequestOverRateWaitsOrIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := limit.NewLimiter(limit.LimiterConfig{})
 		share := map[string]limit.Share{"a": {Rate: 1, Burst: 10}}
@@ -24,7 +25,7 @@
 		view := &kernel.View{Pools: map[string]*kernel.Pool{}}
 		d := dispatch.New(dispatch.Config{View: func() *kernel.View { return view }, Limiter: l})
 		defer d.Close()
-		ask := func(timeout time.Duration) (*dispatch.Refusal, time.Duration) {
+		do := func(timeout time.Duration) (*dispatch.Refusal, time.Duration) {
 			begin := time.Now()
 			req := route.Request{Account: "a", Service: "s", Input: 10, Deadline: begin.Add(timeout)}
 			_, err := d.Do(context.Background(), req, endpoint.Call{})
@@ -33,14 +34,14 @@
 			require.True(t, refusal.NotRun)
 			return refusal, time.Since(begin)
 		}
-		// Admitted requests end with no_endpoint here: the pool is empty.
-		refusal, _ := ask(time.Second)
+		// The pool is empty, so admitted requests end with no_endpoint.
+		refusal, _ := do(time.Second)
 		require.Equal(t, route.ReasonNoEndpoint, refusal.Reason)
-		refusal, took := ask(500 * time.Millisecond)
+		refusal, took := do(500 * time.Millisecond)
 		require.Equal(t, route.ReasonLimited, refusal.Reason)
 		require.InDelta(t, 9, refusal.RetryAfter.Seconds(), 1)
 		require.Zero(t, took)
-		refusal, took = ask(time.Minute)
+		refusal, took = do(time.Minute)
 		require.Equal(t, route.ReasonNoEndpoint, refusal.Reason)
 		require.Greater(t, took, 7*time.Second)
 	})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,6 @@
-// Package dispatch carries one request through its routing plan: it asks homes
-// for permits, calls endpoints and tells the control state what came of it.
+// Package dispatch executes the routing plan of a request: it requests permits
+// from the owners of endpoints, calls endpoints and reports failures to the
+// control state.
 package dispatch
 
 import (
@@ -20,31 +21,32 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-var errNoHome = errors.New("dispatch: the home is not known")
+var errNoOwner = errors.New("dispatch: the owner is not in the view")
 
 const (
-	askTimeout = 250 * time.Millisecond
+	// peerTimeout bounds a permit or lease request to another node.
+	peerTimeout = 250 * time.Millisecond
 )
 
 type (
-	// Endpoints calls endpoints.
+	// Endpoints sends calls to endpoints.
 	Endpoints interface {
 		Do(ctx context.Context, addr netip.AddrPort, call endpoint.Call) (*endpoint.Answer, error)
 	}
 
-	// Peers asks other nodes for permits.
+	// Peers requests permits from other nodes.
 	Peers interface {
 		Permit(ctx context.Context, to netip.AddrPort, b gate.Batch) (gate.Reply, error)
 	}
 
-	// Gate grants the permits of the endpoints whose home the node is.
+	// Gate grants permits for the endpoints that this node owns.
 	Gate interface {
 		Apply(now time.Time, b gate.Batch) gate.Reply
 		Own(now time.Time, endpoint string) kernel.Load
 		Heard(now time.Time, node, endpoint string, l kernel.Load)
 	}
 
-	// Limiter admits requests within their accounts' shares.
+	// Limiter admits requests within the rate shares of their accounts.
 	Limiter interface {
 		Offer(now time.Time, a limit.Ask) *limit.Entry
 	}
@@ -54,7 +56,7 @@
 		Add(now time.Time, model string, tokens int)
 	}
 
-	// Sink takes events for the control state.
+	// Sink receives events for the control state.
 	Sink interface {
 		Offer(ev kernel.Event)
 	}
@@ -62,23 +64,25 @@
 	// Config is the settings of a Dispatcher.
 	Config struct {
 		View func() *kernel.View
-		// Router plans the requests; nil is one with the defaults.
+		// Router plans the requests. Default: a router with default settings.
 		Router *route.Router
-		// Caches moves KV caches for plans that import them; nil moves none.
+		// Caches transfers KV caches for plans that import them; nil disables
+		// transfers.
 		Caches Caches
-		// Holder keeps the permits that the node holds; nil is an empty one.
+		// Holder tracks the permits that the node holds. Default: a new one.
 		Holder *gate.Holder
-		// Recorder keeps what the plans did; nil keeps nothing.
+		// Recorder records the steps of plans; nil disables recording.
 		Recorder  Recorder
 		Gate      Gate
 		Peers     Peers
 		Endpoints Endpoints
 		Sink      Sink
-		// Limiter holds accounts to their rates; nil does not.
+		// Limiter enforces the rates of accounts; nil disables rate limits.
 		Limiter Limiter
-		// Meter measures demand; nil does not.
+		// Meter measures demand; nil disables it.
 		Meter Meter
-		// Leases and PeerLeases let suspected requests run.
+		// Leases and PeerLeases grant leases for suspected requests, from this
+		// node and from others.
 		Leases     Leases
 		PeerLeases PeerLeases
 	}
@@ -93,15 +97,15 @@
 		running sync.WaitGroup
 	}
 
-	// Refusal is the error of a request that got no answer.
+	// Refusal is the error returned for a request that gets no answer.
 	Refusal struct {
 		Reason     route.Reason
 		RetryAfter time.Duration
-		// NotRun is set only where no endpoint ran the request.
+		// NotRun is set only if no endpoint can have run the request.
 		NotRun bool
 	}
 
-	// Run is a request that an endpoint answers. The caller closes it.
+	// Run is a request that an endpoint is answering. The caller must close it.
 	Run struct {
 		Answer   *endpoint.Answer
 		Attempt  string
@@ -110,13 +114,15 @@
 		job      *job
 	}
 
+	// job is the execution of one request's plan.
 	job struct {
-		d      *Dispatcher
-		plan   planner
-		req    route.Request
-		call   endpoint.Call
-		permit uint64
-		lost   bool
+		d        *Dispatcher
+		plan     planner
+		req      route.Request
+		call     endpoint.Call
+		permitID uint64
+		// mayHaveRun is set if an earlier attempt may have run at an endpoint.
+		mayHaveRun bool
 
 		suspicion suspicion
 	}
@@ -133,59 +139,60 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{config: c, holder: c.Holder, base: rand.Uint64(), cancel: cancel}
 	d.running.Go(func() {
-		tick := time.NewTicker(dueInterval)
+		tick := time.NewTicker(flushInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-tick.C:
-				d.due(ctx)
+				d.flush(ctx)
 			}
 		}
 	})
 	return d
 }
 
-// Close stops telling homes. Permits still held there end with their leases.
+// Close stops sending releases to owners. Permits that are still held expire
+// with their leases.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.running.Wait()
 }
 
-// Error describes the refusal.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("dispatch: refused: %s", r.Reason)
 }
 
-// Close ends the answer and gives the permit back.
+// Close closes the answer and releases the permit and the lease.
 func (r *Run) Close() error {
 	err := r.Answer.Close()
 	r.release()
-	r.job.giveBack(false)
+	r.job.releaseLease(false)
 	return err
 }
 
-// Do carries a request to an endpoint and returns the head of its answer, or a
-// *Refusal.
+// Do dispatches a request to an endpoint. It returns once the head of the answer
+// has arrived, or a *Refusal.
 func (d *Dispatcher) Do(ctx context.Context, req route.Request, call endpoint.Call) (*Run, error) {
 	if refusal := d.admit(ctx, req); refusal != nil {
 		return nil, refusal
 	}
 	j := &job{d: d, plan: d.config.Router.Plan(time.Now(), req), req: req, call: call}
-	return j.record().carry(ctx)
+	return j.withRecorder().execute(ctx)
 }
 
-func (j *job) carry(ctx context.Context) (*Run, error) {
+// execute follows the plan until an endpoint answers or the request is refused.
+func (j *job) execute(ctx context.Context) (*Run, error) {
 	for {
 		if refusal := j.clear(ctx); refusal != nil {
-			j.giveBack(false)
+			j.releaseLease(false)
 			return nil, refusal
 		}
 		step := j.plan.Next(time.Now(), j.d.config.View())
 		switch step.Kind {
 		case route.StepAsk:
-			j.plan.Report(j.ask(ctx, step))
+			j.plan.Report(j.requestPermit(ctx, step))
 		case route.StepRun:
 			run, outcome := j.run(ctx, step)
 			if run != nil {
@@ -193,52 +200,52 @@
 			}
 			j.plan.Report(outcome)
 		case route.StepWait:
-			if err := wait(ctx, step.Until); err != nil {
-				j.giveBack(false)
-				return nil, &Refusal{Reason: route.ReasonDeadline, RetryAfter: route.RetryAfter, NotRun: !j.lost}
+			if err := sleepUntil(ctx, step.Until); err != nil {
+				j.releaseLease(false)
+				return nil, &Refusal{Reason: route.ReasonDeadline, RetryAfter: route.RetryAfter, NotRun: !j.mayHaveRun}
 			}
 		case route.StepRefuse:
-			j.giveBack(false)
-			return nil, &Refusal{Reason: step.Reason, RetryAfter: step.RetryAfter, NotRun: !j.lost}
+			j.releaseLease(false)
+			return nil, &Refusal{Reason: step.Reason, RetryAfter: step.RetryAfter, NotRun: !j.mayHaveRun}
 		}
 	}
 }
 
-func (j *job) ask(ctx context.Context, step route.Step) route.Outcome {
+func (j *job) requestPermit(ctx context.Context, step route.Step) route.Outcome {
 	e := step.Endpoint
-	j.permit = j.d.base + j.d.serial.Add(1)
-	a := gate.Ask{
-		ID:       j.permit,
+	j.permitID = j.d.base + j.d.serial.Add(1)
+	req := gate.Ask{
+		ID:       j.permitID,
 		Endpoint: e.Name,
 		Tokens:   step.Tokens,
 		Waited:   step.Waited,
 		Lease:    time.Until(j.req.Deadline) + gate.LeaseSlack,
 		Suspect:  len(j.suspect().Endpoints),
 	}
-	return j.d.permit(ctx, e, a)
+	return j.d.requestPermit(ctx, e, req)
 }
 
-// takes reports whether an endpoint may still be sent the request: between the
-// choice and the sending lies a question to its home.
-func (j *job) takes(e kernel.Endpoint) bool {
+// available reports whether an endpoint still accepts requests. The permit request to
+// its owner has taken time since the plan chose the endpoint.
+func (j *job) available(e kernel.Endpoint) bool {
 	pool := j.d.config.View().Pools[j.req.Service]
 	if pool == nil {
 		return true
 	}
-	now, known := pool.Endpoint(e.Name)
-	return !known || now.Takes()
+	current, known := pool.Endpoint(e.Name)
+	return !known || current.Takes()
 }
 
 func (j *job) run(ctx context.Context, step route.Step) (*Run, route.Outcome) {
 	e := step.Endpoint
-	if !j.takes(e) {
-		j.d.void(j.permit)
+	if !j.available(e) {
+		j.d.releaseFailed(j.permitID)
 		return nil, route.OutcomeGone
 	}
-	j.move(ctx, step.From, e)
+	j.importCache(ctx, step.From, e)
 	call := j.call
-	call.Attempt = strconv.FormatUint(j.permit, 16)
-	permit := j.permit
+	call.Attempt = strconv.FormatUint(j.permitID, 16)
+	permit := j.permitID
 	answer, err := j.d.config.Endpoints.Do(ctx, e.Addr, call)
 	if err == nil {
 		j.plan.Learn(time.Now(), route.Usage{Endpoint: e.Name})
@@ -248,17 +255,17 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		j.d.release(permit)
 	} else {
-		j.d.void(permit)
+		j.d.releaseFailed(permit)
 	}
-	j.failed(ctx, e, err)
+	j.reportFailure(ctx, e, err)
 	if errors.Is(err, endpoint.ErrNotRun) {
 		return nil, route.OutcomeNotRun
 	}
-	j.lost = true
+	j.mayHaveRun = true
 	return nil, route.OutcomeLost
 }
 
-func wait(ctx context.Context, until time.Time) error {
+func sleepUntil(ctx context.Context, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
--- a/internal/dispatch/learn.go
+++ b/internal/dispatch/learn.go
@@ -10,25 +10,24 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-// importTimeout bounds the transfer of a chat's KV cache before a request.
+// importTimeout bounds the transfer of a chat's KV cache ahead of a request.
 const importTimeout = time.Second
 
-// Caches moves KV caches between endpoints.
+// Caches transfers KV caches between endpoints.
 type Caches interface {
 	ExportKV(ctx context.Context, addr netip.AddrPort, chat string) (endpoint.KV, error)
 	ImportKV(ctx context.Context, addr netip.AddrPort, kv endpoint.KV) error
 }
 
-// Learn tells how many tokens the whole answer had, and how many of the prompt
-// the endpoint had cached; negative where it did not say.
+// Learn reports the number of tokens in the complete answer and the number of
+// prompt tokens that the endpoint had cached, negative if unknown.
 func (r *Run) Learn(output, cached int) {
 	r.job.plan.Learn(time.Now(), route.Usage{Endpoint: r.Endpoint.Name, Done: true, Output: output, Cached: cached})
 }
 
-// move imports a chat's KV cache from the endpoint that holds it. Where that
-// fails, the endpoint computes the prompt anew, which costs time and nothing
-// else.
-func (j *job) move(ctx context.Context, from, to kernel.Endpoint) {
+// importCache copies a chat's KV cache from the endpoint that holds it. Errors are
+// ignored: the endpoint then recomputes the prompt, which only costs time.
+func (j *job) importCache(ctx context.Context, from, to kernel.Endpoint) {
 	if from.Name == "" || j.d.config.Caches == nil {
 		return
 	}
--- a/internal/dispatch/paused_test.go
+++ b/internal/dispatch/paused_test.go
@@ -21,30 +21,30 @@
 var errRefused = errors.New("refused")
 
 type (
-	// pausedGate grants the first permit only after a pause of the process, and
-	// later ones not at all, since the endpoint has left.
+	// pausedGate grants the first permit after a pause, as if the process had been
+	// stopped meanwhile, and denies later ones, as the endpoint has left.
 	pausedGate struct {
 		pause    time.Duration
-		asked    int
-		returned []uint64
+		requests int
+		released []uint64
 	}
 
-	// noSink forgets events.
-	noSink struct{}
+	// discardSink discards events.
+	discardSink struct{}
 
-	// endpoints counts calls.
+	// endpoints counts calls and refuses them.
 	endpoints struct{ calls int }
 )
 
 func (g *pausedGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
 	for _, r := range b.Returns {
-		g.returned = append(g.returned, r.ID)
+		g.released = append(g.released, r.ID)
 	}
 	var reply gate.Reply
 	for range b.Asks {
-		g.asked++
+		g.requests++
 		verdict := gate.Gone
-		if g.asked == 1 {
+		if g.requests == 1 {
 			time.Sleep(g.pause)
 			verdict = gate.Granted
 		}
@@ -57,15 +57,16 @@
 
 func (*pausedGate) Heard(time.Time, string, string, kernel.Load) {}
 
-func (noSink) Offer(kernel.Event) {}
+func (discardSink) Offer(kernel.Event) {}
 
 func (e *endpoints) Do(context.Context, netip.AddrPort, endpoint.Call) (*endpoint.Answer, error) {
 	e.calls++
 	return nil, errors.Join(endpoint.ErrNotRun, errRefused)
 }
 
-// Guards against this failure: a leaving endpoint gets new work long after it left.
-func TestPausedNodeAsksAgainBeforeItDispatches(t *testing.T) {
+// Guards against new work for an endpoint that has left. A node that was paused during
+// its permit request must not use the permit when it resumes.
+func TestPermitFromBeforePauseIsNotUsed(t *testing.T) {
 	for _, pause := range []time.Duration{0, kernel.MaxAge} {
 		synctest.Test(t, func(t *testing.T) {
 			e := kernel.Endpoint{Name: "w1", Service: "s", Home: "n1"}
@@ -73,13 +74,13 @@
 				"s": {Service: manifest.Service{Name: "s"}, Bound: 2, Live: 1, Endpoints: []kernel.Endpoint{e}},
 			}}
 			g, calls := &pausedGate{pause: pause}, &endpoints{}
-			d := dispatch.New(dispatch.Config{View: func() *kernel.View { return view }, Gate: g, Endpoints: calls, Sink: noSink{}})
+			d := dispatch.New(dispatch.Config{View: func() *kernel.View { return view }, Gate: g, Endpoints: calls, Sink: discardSink{}})
 			defer d.Close()
 			_, err := d.Do(t.Context(), route.Request{Service: "s", Chat: "c", Deadline: time.Now().Add(10 * time.Second)}, endpoint.Call{})
 			var refusal *dispatch.Refusal
 			require.ErrorAs(t, err, &refusal)
 			require.True(t, refusal.NotRun)
-			require.Len(t, g.returned, 1, "the permit is given back")
+			require.Len(t, g.released, 1, "the permit is released")
 			if pause == 0 {
 				require.Equal(t, 1, calls.calls)
 				return
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -9,10 +9,10 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-// dueInterval is the time between two looks at what homes have to be told.
-const dueInterval = 5 * time.Millisecond
+// flushInterval is how often queued messages to owners are checked.
+const flushInterval = 5 * time.Millisecond
 
-// outcomes turns the verdict of a home into the outcome of a step.
+// outcomes maps the verdict of an owner to the outcome of a step.
 var outcomes = map[gate.Verdict]route.Outcome{
 	gate.Granted: route.OutcomeGranted,
 	gate.Full:    route.OutcomeFull,
@@ -21,17 +21,18 @@
 	gate.Late:    route.OutcomeLate,
 }
 
-// permit asks the home of an endpoint for a permit and keeps it.
-func (d *Dispatcher) permit(ctx context.Context, e kernel.Endpoint, a gate.Ask) route.Outcome {
+// requestPermit requests a permit from the owner of an endpoint and adds it to
+// the holder.
+func (d *Dispatcher) requestPermit(ctx context.Context, e kernel.Endpoint, req gate.Ask) route.Outcome {
 	v := d.config.View()
-	a.Node = v.Self.Name
-	asked := time.Now()
+	req.Node = v.Self.Name
+	start := time.Now()
 	reply, err := d.send(ctx, v, e.Home, gate.Batch{
-		Asks: []gate.Ask{a}, Returns: d.holder.Returns(e.Home), Own: d.config.Gate.Own(time.Now(), e.Name),
+		Asks: []gate.Ask{req}, Returns: d.holder.Returns(e.Home), Own: d.config.Gate.Own(time.Now(), e.Name),
 	})
 	if err != nil {
-		// The home may have granted what nobody will use.
-		d.holder.Return(time.Now(), e.Home, gate.Return{ID: a.ID})
+		// The owner may have granted the permit, which is not going to be used.
+		d.holder.Return(time.Now(), e.Home, gate.Return{ID: req.ID})
 		return route.OutcomeUnreachable
 	}
 	d.config.Gate.Heard(time.Now(), e.Home, e.Name, reply.Own)
@@ -43,50 +44,52 @@
 	if outcome != route.OutcomeGranted {
 		return outcome
 	}
-	d.holder.Take(time.Now(), v, e.Home, a)
-	// A process that was paused since it asked holds a permit of seconds ago;
-	// its endpoint may be leaving by now. It asks again.
-	if time.Since(asked) >= kernel.MaxAge {
-		d.void(a.ID)
+	d.holder.Take(time.Now(), v, e.Home, req)
+	// If the process was paused during the request, the permit is seconds old
+	// and its endpoint may be leaving by now. The plan requests another one.
+	if time.Since(start) >= kernel.MaxAge {
+		d.releaseFailed(req.ID)
 		return route.OutcomeUnreachable
 	}
 	return outcome
 }
 
-// release gives a permit back. Where the home does not hear of it, the lease
-// ends by itself.
-func (d *Dispatcher) release(id uint64) { d.tell(d.holder.Drop(time.Now(), id)) }
+// release queues the release of a permit. If it does not reach the owner, the
+// permit expires with its lease.
+func (d *Dispatcher) release(id uint64) { d.applyLocal(d.holder.Drop(time.Now(), id)) }
 
-// void gives the permit of an attempt back that failed before its time.
-func (d *Dispatcher) void(id uint64) { d.tell(d.holder.Void(time.Now(), id)) }
+// releaseFailed is release for an attempt that failed early. Its duration is not
+// reported, as it says nothing about the endpoint's speed.
+func (d *Dispatcher) releaseFailed(id uint64) { d.applyLocal(d.holder.Void(time.Now(), id)) }
 
-func (d *Dispatcher) tell(home string) {
-	if v := d.config.View(); home == v.Self.Name {
-		d.config.Gate.Apply(time.Now(), gate.Batch{Returns: d.holder.Returns(home)})
+// applyLocal applies the queued releases at once if this node is the owner.
+func (d *Dispatcher) applyLocal(owner string) {
+	if v := d.config.View(); owner == v.Self.Name {
+		d.config.Gate.Apply(time.Now(), gate.Batch{Returns: d.holder.Returns(owner)})
 	}
 }
 
-// send passes a batch to a home, which may be the node itself. Returns that did
-// not get there are kept for the next message.
-func (d *Dispatcher) send(ctx context.Context, v *kernel.View, home string, b gate.Batch) (gate.Reply, error) {
-	if home == v.Self.Name {
+// send delivers a batch to an owner, which may be this node. Releases that could
+// not be delivered are queued for the next message.
+func (d *Dispatcher) send(ctx context.Context, v *kernel.View, owner string, b gate.Batch) (gate.Reply, error) {
+	if owner == v.Self.Name {
 		return d.config.Gate.Apply(time.Now(), b), nil
 	}
-	n, ok := v.Node(home)
+	n, ok := v.Node(owner)
 	if !ok {
-		return gate.Reply{}, errNoHome
+		return gate.Reply{}, errNoOwner
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := d.config.Peers.Permit(ctx, n.Peer, b)
 	if err != nil {
-		d.holder.Return(time.Now(), home, b.Returns...)
+		d.holder.Return(time.Now(), owner, b.Returns...)
 	}
 	return reply, err
 }
 
-// due tells homes what they have to hear.
-func (d *Dispatcher) due(ctx context.Context) {
+// flush sends the queued messages to owners.
+func (d *Dispatcher) flush(ctx context.Context) {
 	v := d.config.View()
 	for _, s := range d.holder.Due(time.Now(), v) {
 		d.running.Go(func() {
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -9,57 +9,58 @@
 )
 
 type (
-	// Record is a step of a request's plan, once when the plan names it and
-	// once more when its outcome is known.
+	// Record describes a step of a request's plan. Each step is recorded when the
+	// plan returns it and again when its outcome is known.
 	Record struct {
 		Time    time.Time
 		Request route.Request
 		Step    route.Step
-		// Attempt names the attempt at endpoints and homes; empty before the
-		// first permit was asked for.
+		// Attempt is the identifier of the attempt at endpoints and owners; empty
+		// before the first permit request.
 		Attempt string
-		// Outcome is 0 when the plan has just named the step.
+		// Outcome is 0 until it is known.
 		Outcome route.Outcome
 	}
 
-	// Recorder keeps what plans did, for operators.
+	// Recorder records the steps of plans for operators.
 	Recorder interface {
 		Record(r Record)
 	}
 
-	// Recorders hands everything to each of several recorders.
+	// Recorders is a Recorder that passes each record to several recorders.
 	Recorders []Recorder
 
+	// planner is the part of route.Plan that a job uses.
 	planner interface {
 		Next(now time.Time, v *kernel.View) route.Step
 		Report(o route.Outcome)
 		Learn(now time.Time, u route.Usage)
 	}
 
-	// recorded is a plan whose steps are recorded.
+	// recorded is a plan that records its steps.
 	recorded struct {
 		planner
-		job  *job
-		to   Recorder
-		step route.Step
+		job      *job
+		recorder Recorder
+		step     route.Step
 	}
 )
 
-// Record hands a record on.
+// Record passes a record to each recorder.
 func (r Recorders) Record(rec Record) {
 	for _, recorder := range r {
 		recorder.Record(rec)
 	}
 }
 
-// Next names the next step and records it.
+// Next returns the next step and records it.
 func (r *recorded) Next(now time.Time, v *kernel.View) route.Step {
 	r.step = r.planner.Next(now, v)
 	r.record(now, 0)
 	return r.step
 }
 
-// Report records an outcome and tells the plan.
+// Report records an outcome and passes it to the plan.
 func (r *recorded) Report(o route.Outcome) {
 	r.record(time.Now(), o)
 	r.planner.Report(o)
@@ -67,16 +68,16 @@
 
 func (r *recorded) record(now time.Time, o route.Outcome) {
 	rec := Record{Time: now, Request: r.job.req, Step: r.step, Outcome: o}
-	if r.job.permit != 0 {
-		rec.Attempt = strconv.FormatUint(r.job.permit, 16)
+	if r.job.permitID != 0 {
+		rec.Attempt = strconv.FormatUint(r.job.permitID, 16)
 	}
-	r.to.Record(rec)
+	r.recorder.Record(rec)
 }
 
-// record lets the steps of a job's plan be recorded.
-func (j *job) record() *job {
-	if to := j.d.config.Recorder; to != nil {
-		j.plan = &recorded{planner: j.plan, job: j, to: to}
+// withRecorder wraps the plan so that its steps are recorded, if there is a recorder.
+func (j *job) withRecorder() *job {
+	if recorder := j.d.config.Recorder; recorder != nil {
+		j.plan = &recorded{planner: j.plan, job: j, recorder: recorder}
 	}
 	return j
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -13,124 +13,126 @@
 )
 
 const (
-	// suspectPause is the time between two asks for the lease of a request.
-	suspectPause = 100 * time.Millisecond
-	// leaseTimeout bounds the message that gives a lease back.
+	// leaseRetryDelay is the time between two requests for the same lease.
+	leaseRetryDelay = 100 * time.Millisecond
+	// leaseTimeout bounds the message that releases a lease.
 	leaseTimeout = time.Second
-	// leaseTries is how often a lease is given back at most, with pauses between
-	// that grow from suspectPause. One that is not lasts until its request's
-	// deadline, and keeps all others of the same content from running.
-	leaseTries = 6
+	// maxLeaseReleases is the maximum number of attempts to release a lease, with
+	// exponential delays that start at leaseRetryDelay. An unreleased lease lasts
+	// until the deadline of its request and blocks all other requests with the
+	// same content.
+	maxLeaseReleases = 6
 )
 
 type (
-	// Leases grants the right to run suspected requests whose holder the node
-	// is.
+	// Leases grants leases for the suspected requests that this node is
+	// responsible for.
 	Leases interface {
 		Acquire(now time.Time, l poison.Lease) bool
 		Release(now time.Time, l poison.Lease, died bool)
 	}
 
-	// PeerLeases asks other nodes for that right.
+	// PeerLeases requests leases from other nodes and releases them there.
 	PeerLeases interface {
 		Acquire(ctx context.Context, to netip.AddrPort, l poison.Lease) (bool, error)
 		GiveBack(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error
 	}
 
-	// suspicion is what a job knows of its own request.
+	// suspicion is what a job has learned about its own request.
 	suspicion struct {
-		// endpoints is those that died running it here. The control state
-		// hears of them too, but only after the job has gone on.
+		// endpoints died while they ran the request for this job. The control
+		// state is informed too, but applies it only after the job has continued.
 		endpoints []string
 		lease     poison.Lease
-		holder    kernel.Node
+		leaseNode kernel.Node
 		held      bool
 	}
 )
 
-// suspect returns what the node knows of the job's request.
+// suspect returns the suspicion against the request: that of the current view,
+// merged with the job's own.
 func (j *job) suspect() kernel.Suspicion {
 	s := j.d.config.View().Suspects[j.req.Print]
 	s, _ = s.Merge(j.suspicion.endpoints)
 	return s
 }
 
-// clear waits until a suspected request may run. It returns a refusal where the
-// request is isolated or its deadline passes.
+// clear waits for the lease if the request is suspected. It returns a refusal if
+// the request is isolated or its deadline passes.
 func (j *job) clear(ctx context.Context) *Refusal {
 	for j.req.Print != 0 {
 		s := j.suspect()
 		switch {
 		case s.Isolated():
-			return &Refusal{Reason: route.ReasonIsolated, NotRun: !j.lost}
+			return &Refusal{Reason: route.ReasonIsolated, NotRun: !j.mayHaveRun}
 		case len(s.Endpoints) == 0, j.suspicion.held, j.acquire(ctx):
 			return nil
 		}
-		until := time.Now().Add(suspectPause)
-		if until.After(j.req.Deadline) || wait(ctx, until) != nil {
-			return &Refusal{Reason: route.ReasonDeadline, RetryAfter: poison.DefaultCooldown, NotRun: !j.lost}
+		until := time.Now().Add(leaseRetryDelay)
+		if until.After(j.req.Deadline) || sleepUntil(ctx, until) != nil {
+			return &Refusal{Reason: route.ReasonDeadline, RetryAfter: poison.DefaultCooldown, NotRun: !j.mayHaveRun}
 		}
 	}
 	return nil
 }
 
-// acquire asks for the lease of the request at the node that grants it.
+// acquire requests the lease from the node that grants it.
 func (j *job) acquire(ctx context.Context) bool {
 	v := j.d.config.View()
-	holder, ok := poison.Holder(j.req.Print, v.Nodes)
+	node, ok := poison.Holder(j.req.Print, v.Nodes)
 	if !ok {
 		return false
 	}
-	// The same lease is asked for again where the holder did not answer: it may
-	// have granted it, and would keep a second one out until the deadline.
+	// Retries use the same lease ID. A node that did not answer may have granted
+	// the lease, and would then reject a second one until the deadline.
 	s := &j.suspicion
-	if s.holder.Name != holder.Name {
-		// The earlier holder may have granted it too.
-		j.giveBack(false)
+	if s.leaseNode.Name != node.Name {
+		// The previous node may have granted the lease.
+		j.releaseLease(false)
 	}
 	if s.lease.ID == 0 {
 		s.lease = poison.Lease{Print: j.req.Print, ID: j.d.base + j.d.serial.Add(1)}
 	}
-	s.holder = holder
+	s.leaseNode = node
 	s.lease.Duration = time.Until(j.req.Deadline) + leaseTimeout
-	if holder.Name == v.Self.Name {
+	if node.Name == v.Self.Name {
 		s.held = j.d.config.Leases.Acquire(time.Now(), s.lease)
 		return s.held
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	s.held, _ = j.d.config.PeerLeases.Acquire(ctx, holder.Peer, s.lease)
+	s.held, _ = j.d.config.PeerLeases.Acquire(ctx, node.Peer, s.lease)
 	return s.held
 }
 
-// giveBack ends the lease, if one is held or may be.
-func (j *job) giveBack(died bool) {
+// releaseLease releases the lease, if one was granted or may have been.
+func (j *job) releaseLease(died bool) {
 	s := &j.suspicion
 	if s.lease.ID == 0 {
 		return
 	}
 	defer func() { s.lease, s.held = poison.Lease{}, false }()
-	if s.holder.Name == j.d.config.View().Self.Name {
+	if s.leaseNode.Name == j.d.config.View().Self.Name {
 		j.d.config.Leases.Release(time.Now(), s.lease, died)
 		return
 	}
-	to, lease := s.holder.Peer, s.lease
+	to, lease := s.leaseNode.Peer, s.lease
 	go func() {
-		for try := 1; !j.d.returned(to, lease, died) && try < leaseTries; try++ {
-			time.Sleep(suspectPause << (try - 1))
+		for try := 1; !j.d.sendLeaseRelease(to, lease, died) && try < maxLeaseReleases; try++ {
+			time.Sleep(leaseRetryDelay << (try - 1))
 		}
 	}()
 }
 
-// returned gives a lease back, and reports whether its holder has heard of that.
-func (d *Dispatcher) returned(to netip.AddrPort, l poison.Lease, died bool) bool {
+// sendLeaseRelease sends the release of a lease and reports whether it was acknowledged.
+func (d *Dispatcher) sendLeaseRelease(to netip.AddrPort, l poison.Lease, died bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
 	return d.config.PeerLeases.GiveBack(ctx, to, l, died) == nil
 }
 
-// failed tells the control state of an attempt that broke.
-func (j *job) failed(ctx context.Context, e kernel.Endpoint, err error) {
+// reportFailure reports a failed attempt to the control state.
+func (j *job) reportFailure(ctx context.Context, e kernel.Endpoint, err error) {
 	died := errors.Is(err, endpoint.ErrDied)
 	if ctx.Err() == nil {
 		j.d.config.Sink.Offer(kernel.EndpointFailed{Endpoint: e.Name})
@@ -139,5 +141,5 @@
 		j.suspicion.endpoints = append(j.suspicion.endpoints, e.Name)
 		j.d.config.Sink.Offer(poison.Died{Print: j.req.Print, Endpoint: e.Name})
 	}
-	j.giveBack(died)
+	j.releaseLease(died)
 }
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -19,28 +19,28 @@
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
-var errLate = errors.New("no answer in time")
+var errTimeout = errors.New("no answer in time")
 
-// holder is a node that grants leases, and does not hear of some that are given back.
-type holder struct {
-	leases  *poison.Leases
-	unheard atomic.Int64
+// leaseNode is a node that grants leases. The first releases sent to it are lost.
+type leaseNode struct {
+	leases *poison.Leases
+	lost   atomic.Int64
 }
 
-func (h *holder) Acquire(_ context.Context, _ netip.AddrPort, l poison.Lease) (bool, error) {
+func (h *leaseNode) Acquire(_ context.Context, _ netip.AddrPort, l poison.Lease) (bool, error) {
 	return h.leases.Acquire(time.Now(), l), nil
 }
 
-func (h *holder) GiveBack(_ context.Context, _ netip.AddrPort, l poison.Lease, died bool) error {
-	if h.unheard.Add(-1) >= 0 {
-		return errLate
+func (h *leaseNode) GiveBack(_ context.Context, _ netip.AddrPort, l poison.Lease, died bool) error {
+	if h.lost.Add(-1) >= 0 {
+		return errTimeout
 	}
 	h.leases.Release(time.Now(), l, died)
 	return nil
 }
 
-// contentOf returns the content of a request whose leases a node grants.
-func contentOf(node string, nodes []kernel.Node) uint64 {
+// fingerprintFor returns the fingerprint of a request whose leases the node grants.
+func fingerprintFor(node string, nodes []kernel.Node) uint64 {
 	for content := uint64(1); ; content++ {
 		if holder, _ := poison.Holder(content, nodes); holder.Name == node {
 			return content
@@ -48,73 +48,74 @@
 	}
 }
 
-// Guards against a suspected request that waits until its deadline for a lease which
-// was given back, but not heard of.
-func TestLeaseIsGivenBackUntilItsHolderHears(t *testing.T) {
+// Guards against a suspected request that waits until its deadline for a lease that is
+// no longer in use, since the message that released it was lost.
+func TestLostLeaseReleaseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := []kernel.Node{{Name: "n1"}, {Name: "n2"}}
-		content := contentOf("n2", nodes)
+		content := fingerprintFor("n2", nodes)
 		v := &kernel.View{
 			Self: nodes[0], Nodes: nodes, Pools: map[string]*kernel.Pool{},
 			Suspects: map[uint64]kernel.Suspicion{content: {Endpoints: []string{"w1"}}},
 		}
-		h := &holder{leases: poison.NewLeases(0)}
-		h.unheard.Store(2)
+		h := &leaseNode{leases: poison.NewLeases(0)}
+		h.lost.Store(2)
 		d := dispatch.New(dispatch.Config{View: func() *kernel.View { return v }, PeerLeases: h})
 		defer d.Close()
 		for range 2 {
 			_, err := d.Do(t.Context(), route.Request{Service: "s", Print: content, Deadline: time.Now().Add(3 * time.Minute)}, endpoint.Call{})
 			var refusal *dispatch.Refusal
 			require.ErrorAs(t, err, &refusal)
-			// The pool is empty: that is found out only with the lease.
+			// The pool is empty, which a request finds out only once it has the lease.
 			require.Equal(t, route.ReasonNoEndpoint, refusal.Reason)
 		}
 	})
 }
 
-// holders are nodes that grant leases, by their addresses. The answer to the first ask of
-// all is lost.
-type holders struct {
-	leases map[netip.AddrPort]*poison.Leases
-	asked  atomic.Int64
-	// lost is called when the first answer is lost.
-	lost func()
+// leaseNodes are nodes that grant leases, by address. The answer to the very first request is
+// lost.
+type leaseNodes struct {
+	leases   map[netip.AddrPort]*poison.Leases
+	requests atomic.Int64
+	// onLost is called when the first answer is lost.
+	onLost func()
 }
 
-func (h *holders) Acquire(_ context.Context, to netip.AddrPort, l poison.Lease) (bool, error) {
+func (h *leaseNodes) Acquire(_ context.Context, to netip.AddrPort, l poison.Lease) (bool, error) {
 	granted := h.leases[to].Acquire(time.Now(), l)
-	if h.asked.Add(1) == 1 {
-		h.lost()
-		return false, errLate
+	if h.requests.Add(1) == 1 {
+		h.onLost()
+		return false, errTimeout
 	}
 	return granted, nil
 }
 
-func (h *holders) GiveBack(_ context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
+func (h *leaseNodes) GiveBack(_ context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
 	h.leases[to].Release(time.Now(), l, died)
 	return nil
 }
 
-// Guards against a suspected request that waits until its deadline for a lease which its
-// holder granted unheard, before another node became the holder for a while.
-func TestLeaseOfAnEarlierHolderIsGivenBack(t *testing.T) {
+// Guards against a suspected request that waits until its deadline for a lease that it
+// holds without knowing: the reply was lost, and then another node became responsible
+// for the lease for a while.
+func TestLeaseOfPreviousNodeIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := []kernel.Node{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}}
 		for i := range nodes {
 			nodes[i].Peer = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
 		}
-		content := contentOf("n2", nodes)
+		content := fingerprintFor("n2", nodes)
 		var v atomic.Pointer[kernel.View]
-		show := func(state kernel.State) {
-			now := slices.Clone(nodes)
-			now[1].State = state
+		setState := func(state kernel.State) {
+			list := slices.Clone(nodes)
+			list[1].State = state
 			v.Store(&kernel.View{
-				Self: nodes[0], Nodes: now, Pools: map[string]*kernel.Pool{},
+				Self: nodes[0], Nodes: list, Pools: map[string]*kernel.Pool{},
 				Suspects: map[uint64]kernel.Suspicion{content: {Endpoints: []string{"w1"}}},
 			})
 		}
-		show(kernel.Live)
-		h := &holders{leases: map[netip.AddrPort]*poison.Leases{}, lost: func() { show(kernel.Suspect) }}
+		setState(kernel.Live)
+		h := &leaseNodes{leases: map[netip.AddrPort]*poison.Leases{}, onLost: func() { setState(kernel.Suspect) }}
 		for _, n := range nodes {
 			h.leases[n.Peer] = poison.NewLeases(0)
 		}
@@ -125,7 +126,7 @@
 			var refusal *dispatch.Refusal
 			require.ErrorAs(t, err, &refusal)
 			require.Equal(t, route.ReasonNoEndpoint, refusal.Reason)
-			show(kernel.Live)
+			setState(kernel.Live)
 		}
 	})
 }
