--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -1,5 +1,5 @@
-// Package decision writes what a process decides and believes as JSON lines,
-// so that a failed request can be explained afterwards.
+// Package decision logs the decisions of a process, and the state that they were
+// based on, as JSON lines, so that a failed request can be explained afterwards.
 package decision
 
 import (
@@ -14,28 +14,28 @@
 )
 
 const (
-	// queueLines is how many lines wait for the writer: some 64 KiB.
+	// queueLines is the capacity of the write queue: about 64 KiB.
 	queueLines = 512
-	// linesPerSecond bounds the volume: about 60 KB/s a process. A node takes
-	// some 30 requests a second today.
+	// linesPerSecond limits the log volume to about 60 KB/s per process. A node
+	// serves about 30 requests per second today.
 	linesPerSecond = 300
 	burstLines     = 600
 )
 
 type (
-	// Fields are what a line says beside its time and event.
+	// Fields are the fields of a line in addition to its time and event.
 	Fields = logrus.Fields
 
 	// LogConfig is the settings of a Log.
 	LogConfig struct {
-		// To takes the lines.
+		// To is the output.
 		To io.Writer
-		// Node is named on each line.
+		// Node is the name of the node, which is added to each line.
 		Node string
 	}
 
-	// Log writes lines in a goroutine of its own. It never blocks: lines that
-	// come too fast are dropped and counted.
+	// Log writes lines from its own goroutine, so that logging never blocks.
+	// Lines above the rate limit or the queue's capacity are dropped and counted.
 	Log struct {
 		logger  *logrus.Logger
 		node    string
@@ -54,7 +54,7 @@
 	}
 )
 
-// New starts a log.
+// New returns a Log and starts its goroutine. Close stops it.
 func New(c LogConfig) *Log {
 	logger := logrus.New()
 	logger.SetOutput(c.To)
@@ -80,7 +80,8 @@
 	return l
 }
 
-// Event writes one line, or drops it. The fields belong to the log afterwards.
+// Event queues one line, or drops it. The caller must not use the fields
+// afterwards.
 func (l *Log) Event(event string, f Fields) {
 	if l == nil {
 		return
@@ -97,10 +98,10 @@
 	}
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines dropped since the last written one.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Close writes what waits and stops; later lines are dropped.
+// Close writes the queued lines and stops the Log. Later lines are not written.
 func (l *Log) Close() {
 	l.stop.Do(func() { close(l.stopped) })
 	l.running.Wait()
--- a/internal/decision/log_test.go
+++ b/internal/decision/log_test.go
@@ -12,23 +12,23 @@
 	"bulrushhinge.example/bulrushhinge/internal/decision"
 )
 
-// stuck is a writer that takes nothing until it is released.
-type stuck struct {
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-// Guards against this failure: all requests hang.
-func TestFullOutputHoldsUpNobody(t *testing.T) {
-	w := &stuck{release: make(chan struct{})}
+// Guards against requests that hang because the log's output does not accept data.
+func TestBlockedOutputDoesNotBlockEvents(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	l := decision.New(decision.LogConfig{To: w, Node: "n1"})
 	for range 5000 {
 		l.Event("attempt", decision.Fields{"request": "q"})
@@ -37,7 +37,7 @@
 	close(w.release)
 	l.Close()
 	l.Event("late", nil)
-	lines := strings.Split(strings.TrimSpace(w.got.String()), "\n")
+	lines := strings.Split(strings.TrimSpace(w.written.String()), "\n")
 	require.Less(t, len(lines), 1000)
 	var first map[string]any
 	require.NoError(t, json.Unmarshal([]byte(lines[0]), &first))
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	blockSerials = 1024
-	perByte      = 4
-	bitsEach     = 2
-	bitMask      = 1<<bitsEach - 1
+	blockSerials   = 1024
+	serialsPerByte = 4
+	bitsPerSerial  = 2
+	bitMask        = 1<<bitsPerSerial - 1
 )
 
 const (
@@ -17,18 +17,19 @@
 )
 
 type (
-	// ledger remembers the used serials in two bits each. It never drops a
-	// serial that could still be redeemed: were it to forget one early, a late
-	// copy of the request would run a second time. Where it is full, it
-	// refuses further serials instead.
+	// ledger stores the state of used serials in two bits each. It never drops a
+	// serial whose ticket could still be redeemed, since a late copy of the
+	// request would then run a second time. When it is full, it rejects new
+	// serials instead.
 	ledger struct {
 		limit  int
 		blocks map[uint64]*block
 	}
 
 	block struct {
-		codes [blockSerials / perByte]byte
-		// until is when no ticket of the block can be redeemed or asked about.
+		codes [blockSerials / serialsPerByte]byte
+		// until is the time after which no ticket of the block can be redeemed
+		// or queried.
 		until time.Duration
 	}
 )
@@ -37,8 +38,8 @@
 	return ledger{limit: limit, blocks: map[uint64]*block{}}
 }
 
-// set notes the state of a serial, which is forgotten not before until. It
-// reports whether there was room.
+// set stores the state of a serial and keeps it at least until the given time.
+// It returns false if the ledger is full.
 func (l *ledger) set(serial uint64, s State, until time.Duration) bool {
 	b := l.blocks[serial/blockSerials]
 	if b == nil {
@@ -49,18 +50,18 @@
 		l.blocks[serial/blockSerials] = b
 	}
 	b.until = max(b.until, until)
-	i, shift := place(serial)
+	i, shift := position(serial)
 	b.codes[i] = b.codes[i]&^(bitMask<<shift) | code(s)<<shift
 	return true
 }
 
-// get returns the state of a used serial.
+// get returns the state of a serial, or false if it is not in use.
 func (l *ledger) get(serial uint64) (State, bool) {
 	b := l.blocks[serial/blockSerials]
 	if b == nil {
 		return "", false
 	}
-	i, shift := place(serial)
+	i, shift := position(serial)
 	switch b.codes[i] >> shift & bitMask {
 	case codeUnknown:
 		return Unknown, true
@@ -81,9 +82,11 @@
 	}
 }
 
-func place(serial uint64) (index, shift uint64) {
-	in := serial % blockSerials
-	return in / perByte, in % perByte * bitsEach
+// position returns the index of a serial's byte in its block and the shift within
+// the byte.
+func position(serial uint64) (index, shift uint64) {
+	offset := serial % blockSerials
+	return offset / serialsPerByte, offset % serialsPerByte * bitsPerSerial
 }
 
 func code(s State) byte {
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// maxPiece is the bytes that are added to a record at once.
+// maxPiece is the maximum number of bytes added to a record at once.
 const maxPiece = 16 << 10
 
 var (
-	// ErrGone is returned where an answer is too large to be given again from
-	// its beginning.
+	// ErrGone is returned if the beginning of an answer was dropped because the
+	// answer is too large to keep.
 	ErrGone = errors.New("once: answer too large to be given again")
 
 	errPanic = errors.New("once: the run ended without an outcome")
 )
 
 type (
-	// Record is the run of one ticket: the running request's answer, as an
-	// http.ResponseWriter, and after its end the kept answer. The run does not
-	// end with the connection of the caller that began it; a caller that comes
-	// back reads the answer from its beginning.
+	// Record is the run of one ticket. While the request runs, it is the
+	// http.ResponseWriter of the answer; afterwards it stores the answer. The
+	// run is independent of the connection that started it: a caller that
+	// reconnects reads the answer from the beginning.
 	Record struct {
 		registry *Registry
 		serial   uint64
@@ -30,27 +30,33 @@
 		header   http.Header
 		ctx      context.Context
 
-		// What follows is guarded by the registry's lock.
-		status  int
-		sent    http.Header
-		data    []byte
-		base    int
-		held    int
-		state   State
-		cut     error
-		until   time.Duration
+		// The following fields are guarded by the registry's lock.
+		status int
+		// sentHeader is the header at the time of WriteHeader.
+		sentHeader http.Header
+		// data is the stored part of the answer, base its offset.
+		data []byte
+		base int
+		// held is the record's share of the registry's memory count.
+		held  int
+		state State
+		// cut is the error that truncated the answer.
+		cut   error
+		until time.Duration
+		// changed is closed and replaced on every change.
 		changed chan struct{}
 		readers map[*Reader]struct{}
+		// waiting is set while a write waits for a reader.
 		waiting bool
 	}
 
-	// Reader is one caller that reads a record.
+	// Reader reads a record for one caller.
 	Reader struct {
 		record *Record
 		offset int
 	}
 
-	// part is what a reader found next.
+	// part is the next piece of an answer, with the state of its run.
 	part struct {
 		status  int
 		header  http.Header
@@ -69,11 +75,11 @@
 	}
 }
 
-// Header returns the header of the answer. Only the run uses it, before it
-// writes.
+// Header returns the header of the answer. Only the run may use it, and only
+// before the first write.
 func (c *Record) Header() http.Header { return c.header }
 
-// WriteHeader sets the status of the answer and fixes its header.
+// WriteHeader sets the status of the answer and freezes its header.
 func (c *Record) WriteHeader(status int) {
 	c.registry.mu.Lock()
 	defer c.registry.mu.Unlock()
@@ -83,12 +89,12 @@
 // Flush does nothing: readers see every write at once.
 func (c *Record) Flush() {}
 
-// Write adds to the answer. It fails once the run's context has ended.
+// Write appends to the answer.
 //
-// An answer that outgrows the memory set aside is passed on to the callers that
-// read it and not kept: what all of them have read is dropped, and a slow one
-// makes the run wait. Without that, a few long answers would take the node's
-// memory.
+// An answer that exceeds the memory limit is passed on to its readers but not
+// stored, so that a few long answers cannot exhaust the node's memory: data is
+// dropped once all readers have read it, and Write blocks while one of them is
+// slow. It fails if the run's context ends meanwhile.
 func (c *Record) Write(data []byte) (int, error) {
 	written := 0
 	for len(data) > 0 {
@@ -102,9 +108,9 @@
 	return written, nil
 }
 
-// Run starts the run. Its work writes the answer and returns what became of the
-// request: Done where the endpoint ran it, Void where it certainly did not, and
-// Unknown where nobody knows; and an error where the answer was cut.
+// Run runs work in a goroutine. work writes the answer and returns the outcome of
+// the request: Done if the endpoint ran it, Void if it certainly did not, Unknown
+// otherwise. Its error means that the answer is truncated.
 func (c *Record) Run(ctx context.Context, work func(ctx context.Context, w http.ResponseWriter) (State, error)) {
 	c.ctx = ctx
 	go func() {
@@ -114,8 +120,8 @@
 	}()
 }
 
-// Join returns a Reader of the answer from its beginning. It returns ErrGone
-// where the beginning is no longer there.
+// Join returns a Reader of the answer from its beginning, or ErrGone if the
+// beginning was dropped.
 func (c *Record) Join() (*Reader, error) {
 	r := c.registry
 	r.mu.Lock()
@@ -123,16 +129,16 @@
 	if c.base > 0 {
 		return nil, ErrGone
 	}
-	me := &Reader{record: c}
-	c.readers[me] = struct{}{}
-	return me, nil
+	reader := &Reader{record: c}
+	c.readers[reader] = struct{}{}
+	return reader, nil
 }
 
-// Copy writes the whole answer to a caller as it comes, until the run has ended
-// or ctx has, and leaves the record. A cut answer ends with the run's error. It reports whether the answer's head was
-// written before an error.
+// Copy writes the answer to w as it arrives, until the run or ctx ends, and
+// detaches the Reader. If the answer is truncated, it returns the run's error.
+// started reports whether the head of the answer was written.
 func (d *Reader) Copy(ctx context.Context, w http.ResponseWriter) (started bool, err error) {
-	defer d.leave()
+	defer d.detach()
 	control := http.NewResponseController(w)
 	for {
 		p := d.next()
@@ -160,6 +166,7 @@
 	}
 }
 
+// next returns the data that the Reader has not read yet.
 func (d *Reader) next() part {
 	c := d.record
 	r := c.registry
@@ -168,17 +175,17 @@
 	data := c.data[d.offset-c.base:]
 	d.offset += len(data)
 	if len(data) > 0 && c.waiting {
-		c.wake()
+		c.notify()
 	}
-	return part{status: c.status, header: c.sent, data: data, ended: c.state != Running, cut: c.cut, changed: c.changed}
+	return part{status: c.status, header: c.sentHeader, data: data, ended: c.state != Running, cut: c.cut, changed: c.changed}
 }
 
-func (d *Reader) leave() {
+func (d *Reader) detach() {
 	r := d.record.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(d.record.readers, d)
-	d.record.wake()
+	d.record.notify()
 }
 
 func copyHeader(w http.ResponseWriter, p part) {
@@ -193,19 +200,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.writeHeader(http.StatusOK)
-	for c.crowded(len(data)) && !c.trim() {
-		if err := c.wait(); err != nil {
+	for c.exceedsMemory(len(data)) && !c.trim() {
+		if err := c.waitForReader(); err != nil {
 			return err
 		}
 	}
 	c.data = append(c.data, data...)
-	c.hold()
-	c.wake()
+	c.updateMemory()
+	c.notify()
 	return nil
 }
 
-// wait gives the lock away until a reader has read or left.
-func (c *Record) wait() error {
+// waitForReader releases the registry's lock until a reader reads or detaches.
+func (c *Record) waitForReader() error {
 	r := c.registry
 	c.waiting = true
 	defer func() { c.waiting = false }()
@@ -220,7 +227,7 @@
 	}
 }
 
-// end ends the run. A work that panicked ends as Unknown.
+// end stores the outcome of the run, which is Unknown if work panicked.
 func (c *Record) end(s State, cut error) {
 	r := c.registry
 	r.mu.Lock()
@@ -228,9 +235,9 @@
 	c.state = s
 	c.cut = cut
 	c.until = r.config.Now() + r.config.Keep
-	r.used.set(c.serial, s, r.forget())
+	r.used.set(c.serial, s, r.retainUntil())
 	r.ended = append(r.ended, c)
-	c.wake()
+	c.notify()
 	r.active--
 	close(r.idle)
 	r.idle = make(chan struct{})
@@ -241,13 +248,13 @@
 		return
 	}
 	c.status = status
-	c.sent = c.header.Clone()
-	c.wake()
+	c.sentHeader = c.header.Clone()
+	c.notify()
 }
 
-// crowded reports whether more bytes would outgrow the memory, after the oldest
-// kept answers have been dropped for them.
-func (c *Record) crowded(more int) bool {
+// exceedsMemory reports whether more bytes would exceed the memory limits, even after
+// dropping the oldest stored answers.
+func (c *Record) exceedsMemory(more int) bool {
 	r := c.registry
 	if len(c.data)+more > r.config.Answer {
 		return true
@@ -260,29 +267,31 @@
 	return false
 }
 
-// trim drops what every reader has read. It reports whether that was all there
-// is.
+// trim drops the data that every reader has read. It reports whether no data is
+// left.
 func (c *Record) trim() bool {
 	end := c.base + len(c.data)
 	read := end
-	for me := range c.readers {
-		read = min(read, me.offset)
+	for reader := range c.readers {
+		read = min(read, reader.offset)
 	}
 	if read > c.base {
-		// The tail is copied, since readers may still hold the old array.
+		// Copy the tail, since readers may still use the old array.
 		c.data = append([]byte(nil), c.data[read-c.base:]...)
 		c.base = read
-		c.hold()
+		c.updateMemory()
 	}
 	return len(c.data) == 0
 }
 
-func (c *Record) hold() {
+// updateMemory updates the registry's memory count.
+func (c *Record) updateMemory() {
 	c.registry.memory += len(c.data) - c.held
 	c.held = len(c.data)
 }
 
-func (c *Record) wake() {
+// notify notifies the goroutines that wait for a change.
+func (c *Record) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
--- a/internal/once/registry.go
+++ b/internal/once/registry.go
@@ -1,12 +1,12 @@
-// Package once runs requests that must not be repeated at most once, by
-// tickets and without shared state: a ticket can be redeemed only in the
-// process that minted it, and there a single time.
+// Package once gives at-most-once execution to requests that must not be
+// repeated, by tickets and without shared state: a ticket can be redeemed only
+// in the process that minted it, and only once.
 //
-// What goes wrong without it: a caller that lost its connection sends the
-// request again, to this node or to another, and two renewal letters go out.
-// Nodes may disagree about membership, be paused or cut off, so no node may
-// decide for another. Here none does: the key that verifies a ticket lives in
-// one process's memory and ends with it.
+// It prevents duplicates when a caller loses its connection and retries at this
+// node or another: otherwise, for example, two renewal letters go out. Nodes may
+// disagree about membership, be paused or be partitioned, so no node may decide
+// for another. The key that verifies a ticket therefore exists only in the
+// memory of the process that minted it.
 package once
 
 import (
@@ -21,18 +21,19 @@
 
 // Defaults of a Config.
 const (
-	// DefaultLife is how long a ticket may be redeemed.
+	// DefaultLife is how long a ticket can be redeemed.
 	DefaultLife = 10 * time.Minute
-	// DefaultKeep is how long an answer is kept for its caller.
+	// DefaultKeep is how long the answer of an ended run is stored.
 	DefaultKeep = 5 * time.Minute
-	// DefaultMemory is the bytes of running and kept answers.
+	// DefaultMemory is the maximum total size of running and stored answers, in
+	// bytes.
 	DefaultMemory = 16 << 20
-	// DefaultAnswer is the bytes of the largest answer that is kept.
+	// DefaultAnswer is the size of the largest stored answer, in bytes.
 	DefaultAnswer = 1 << 20
-	// DefaultBlocks is how many blocks of used serials are remembered, of
-	// about 300 bytes and 1,024 serials each.
+	// DefaultBlocks is the maximum number of blocks of used serials. A block
+	// takes about 300 bytes and holds 1,024 serials.
 	DefaultBlocks = 4096
-	// DefaultRecords is how many running and kept answers there may be.
+	// DefaultRecords is the maximum number of running and stored answers.
 	DefaultRecords = 8192
 
 	sweepInterval = time.Second
@@ -40,41 +41,41 @@
 
 // States of a ticket.
 const (
-	// Unused is a ticket that may still be redeemed.
+	// Unused is a ticket that can still be redeemed.
 	Unused State = "unused"
-	// Running is a ticket whose request is in progress.
+	// Running is a ticket whose request is running.
 	Running State = "running"
 	// Done is a ticket whose request was run and answered.
 	Done State = "done"
 	// Void is a ticket whose request was not run and never will be.
 	Void State = "void"
-	// Unknown is a ticket of which the node cannot tell.
+	// Unknown is a ticket whose state the node does not know.
 	Unknown State = "unknown"
 )
 
 var (
 	// ErrUnknown is returned for a ticket that this incarnation did not mint
-	// for the account, or whose outcome it no longer knows.
+	// for the account, or whose outcome it does not know.
 	ErrUnknown = errors.New("once: ticket unknown")
-	// ErrVoid is returned for a ticket that was given up or has expired: its
+	// ErrVoid is returned for a ticket that was voided or has expired: its
 	// request was not run and never will be.
 	ErrVoid = errors.New("once: ticket void")
-	// ErrUsed is returned for a ticket whose answer is no longer kept.
+	// ErrUsed is returned for a ticket whose answer is no longer stored.
 	ErrUsed = errors.New("once: ticket used, answer not kept")
 	// ErrOther is returned for a ticket that was used for another request.
 	ErrOther = errors.New("once: ticket used for another request")
-	// ErrRunning is returned where a running ticket is to be voided.
+	// ErrRunning is returned by Void if the request is running.
 	ErrRunning = errors.New("once: ticket is running")
-	// ErrFull is returned where no more can be remembered. The ticket stays
-	// unused.
+	// ErrFull is returned if the registry has no room for another used ticket.
+	// The ticket stays unused.
 	ErrFull = errors.New("once: registry full")
 )
 
 type (
-	// State is what is known of a ticket.
+	// State is the state of a ticket.
 	State string
 
-	// Print identifies the request for which a ticket is used.
+	// Print is the fingerprint of the request for which a ticket is used.
 	Print [32]byte
 
 	// Config is the settings of a Registry. Zero settings take their defaults.
@@ -82,9 +83,9 @@
 		// Node and Incarnation are those of the process.
 		Node        string
 		Incarnation uint64
-		// Now is the monotonic time since the process started. The default
-		// reads the clock of the time package, which steps of the wall clock
-		// do not move.
+		// Now returns the monotonic time since the process started. The default
+		// uses the monotonic clock of the time package, which does not follow
+		// steps of the wall clock.
 		Now     func() time.Duration
 		Life    time.Duration
 		Keep    time.Duration
@@ -94,8 +95,8 @@
 		Records int
 	}
 
-	// Registry mints tickets and redeems each at most once. It is safe for
-	// concurrent use. An unused ticket takes no memory.
+	// Registry mints tickets and redeems each at most once. Unused tickets take
+	// no memory. It is safe for concurrent use.
 	Registry struct {
 		config  Config
 		key     *ticket.Key
@@ -104,11 +105,12 @@
 		used    ledger
 		records map[uint64]*Record
 		// ended is the records of ended runs, oldest first.
-		ended  []*Record
+		ended []*Record
+		// memory is the size of running and stored answers, in bytes.
 		memory int
-		// swept is when what is past its retention was last dropped.
-		swept  time.Duration
-		active int
+		// lastSweep is when expire last dropped old entries.
+		lastSweep time.Duration
+		active    int
 		// idle is closed and replaced whenever a run ends.
 		idle chan struct{}
 	}
@@ -135,7 +137,7 @@
 	}
 }
 
-// Mint returns a fresh ticket for a client account.
+// Mint returns a new ticket for a client account.
 func (r *Registry) Mint(account string) (ticket.Ticket, error) {
 	r.mu.Lock()
 	r.serial++
@@ -151,12 +153,12 @@
 	return minted, nil
 }
 
-// Redeem uses a ticket for a request. For the first call it returns a new
-// Record and true: the caller runs the request, writes its answer to the record
-// and ends it. Every further call with the same request gets the same record
-// and false, whether the request still runs or its answer is kept.
+// Redeem uses a ticket for a request. The first call returns a new Record and
+// true, and the caller must call Run on the record. Later calls with the same
+// request return the same record and false, as long as the request runs or its
+// answer is stored.
 func (r *Registry) Redeem(t ticket.Ticket, account string, p Print) (*Record, bool, error) {
-	if !r.mine(t, account) {
+	if !r.minted(t, account) {
 		return nil, false, ErrUnknown
 	}
 	r.mu.Lock()
@@ -177,7 +179,7 @@
 	default:
 		return nil, false, ErrUnknown
 	}
-	if !r.room() || !r.used.set(t.Serial, Unknown, r.forget()) {
+	if !r.makeRoom() || !r.used.set(t.Serial, Unknown, r.retainUntil()) {
 		return nil, false, ErrFull
 	}
 	record := newRecord(r, t.Serial, p)
@@ -186,9 +188,9 @@
 	return record, true, nil
 }
 
-// State returns what is known of a ticket.
+// State returns the state of a ticket.
 func (r *Registry) State(t ticket.Ticket, account string) State {
-	if !r.mine(t, account) {
+	if !r.minted(t, account) {
 		return Unknown
 	}
 	r.mu.Lock()
@@ -197,10 +199,10 @@
 	return r.state(t)
 }
 
-// Void gives up an unused ticket: after it returns nil, the ticket's request
-// was not run and never will be. A void ticket may be voided again.
+// Void invalidates an unused ticket. If it returns nil, the ticket's request was
+// not run and never will be. Void is idempotent.
 func (r *Registry) Void(t ticket.Ticket, account string) error {
-	if !r.mine(t, account) {
+	if !r.minted(t, account) {
 		return ErrUnknown
 	}
 	r.mu.Lock()
@@ -208,7 +210,7 @@
 	r.expire()
 	switch r.state(t) {
 	case Unused:
-		if !r.used.set(t.Serial, Void, r.forget()) {
+		if !r.used.set(t.Serial, Void, r.retainUntil()) {
 			return ErrFull
 		}
 		return nil
@@ -223,7 +225,7 @@
 	}
 }
 
-// Wait waits until no request runs, or ctx ends.
+// Wait waits until no request is running, or ctx ends.
 func (r *Registry) Wait(ctx context.Context) error {
 	for {
 		r.mu.Lock()
@@ -256,11 +258,12 @@
 	return Stats{Minted: r.serial, Records: len(r.records), Ended: len(r.ended), Bytes: r.memory, Blocks: len(r.used.blocks)}
 }
 
-func (r *Registry) mine(t ticket.Ticket, account string) bool {
+// minted reports whether this process minted the ticket for the account.
+func (r *Registry) minted(t ticket.Ticket, account string) bool {
 	return t.Node == r.config.Node && t.Incarnation == r.config.Incarnation && r.key.Verify(t, account) == nil
 }
 
-// state is called with the lock held, for a genuine ticket.
+// state returns the state of a verified ticket. The lock must be held.
 func (r *Registry) state(t ticket.Ticket) State {
 	if record := r.records[t.Serial]; record != nil {
 		return record.state
@@ -278,29 +281,30 @@
 	return Unused
 }
 
-// forget is when a serial used now can be forgotten: every ticket that was
-// minted until now has expired by then, and its outcome was told for the
-// retention after that.
-func (r *Registry) forget() time.Duration {
+// retainUntil returns the time until which a serial used now must be stored. By then,
+// every ticket minted until now has expired, and its outcome could be queried
+// for Keep after that.
+func (r *Registry) retainUntil() time.Duration {
 	return r.config.Now() + r.config.Life + r.config.Keep
 }
 
-// room reports whether one more record fits, and drops the oldest ended one
-// where that makes it fit.
-func (r *Registry) room() bool {
+// makeRoom reports whether another record fits, dropping the oldest ended one if
+// necessary.
+func (r *Registry) makeRoom() bool {
 	if len(r.records) < r.config.Records {
 		return true
 	}
 	return r.dropOldest()
 }
 
-// expire drops what is past its retention.
+// expire drops answers and serials past their retention, at most once per
+// sweepInterval.
 func (r *Registry) expire() {
 	now := r.config.Now()
-	if now-r.swept < sweepInterval {
+	if now-r.lastSweep < sweepInterval {
 		return
 	}
-	r.swept = now
+	r.lastSweep = now
 	for len(r.ended) > 0 && now > r.ended[0].until {
 		r.dropOldest()
 	}
--- a/internal/once/registry_test.go
+++ b/internal/once/registry_test.go
@@ -18,7 +18,7 @@
 
 const account = "a1"
 
-// clock is a monotonic clock that tests set.
+// clock is a monotonic clock that tests advance.
 type clock struct{ now atomic.Int64 }
 
 func (c *clock) Now() time.Duration      { return time.Duration(c.now.Load()) }
@@ -30,7 +30,7 @@
 	return once.New(c), clock
 }
 
-// answer runs a record that answers with the given text.
+// answer returns the work of a run that writes the given text.
 func answer(text string) func(context.Context, http.ResponseWriter) (once.State, error) {
 	return func(_ context.Context, w http.ResponseWriter) (once.State, error) {
 		_, _ = w.Write([]byte(text))
@@ -48,8 +48,9 @@
 	return w.Body.String()
 }
 
-// Guards against this failure: a renewal letter goes out twice.
-func TestOneTicketTwiceAtOnceRunsOnce(t *testing.T) {
+// Guards against a request that runs twice (a renewal letter that goes out twice) because
+// copies of it redeem the same ticket concurrently.
+func TestConcurrentRedeemsRunOnce(t *testing.T) {
 	r, _ := newRegistry(once.Config{})
 	minted, err := r.Mint(account)
 	require.NoError(t, err)
@@ -79,8 +80,8 @@
 	require.Equal(t, once.Done, r.State(minted, account))
 }
 
-// Guards against this failure: a caller gets the answer to another of its requests, or a
-// stranger gets it.
+// Guards against an answer that goes to another request of the caller, or to another
+// account.
 func TestTicketIsBoundToAccountAndRequest(t *testing.T) {
 	r, _ := newRegistry(once.Config{})
 	minted, err := r.Mint(account)
@@ -98,7 +99,8 @@
 	require.NoError(t, r.Wait(t.Context()))
 }
 
-// Guards against this failure: a request runs after its caller was told that it was not run.
+// Guards against a request that runs although its caller was told that it had not run and
+// would not.
 func TestVoidTicketNeverRuns(t *testing.T) {
 	r, clock := newRegistry(once.Config{})
 	minted, err := r.Mint(account)
@@ -113,8 +115,9 @@
 	}
 }
 
-// Guards against this failure: a request of yesterday runs again today.
-func TestUsedTicketNeverRunsAgainHoweverLate(t *testing.T) {
+// Guards against a late copy of a request that runs again after the record of the first run
+// has been dropped.
+func TestUsedTicketNeverRunsAgain(t *testing.T) {
 	r, clock := newRegistry(once.Config{Records: 1, Memory: 8, Answer: 4})
 	minted, err := r.Mint(account)
 	require.NoError(t, err)
@@ -128,11 +131,11 @@
 		require.False(t, first && err == nil)
 	}
 	require.Equal(t, once.Unknown, r.State(minted, account))
-	require.Zero(t, r.Stats().Blocks, "and the memory of it ends")
+	require.Zero(t, r.Stats().Blocks, "used serials must be dropped in the end")
 }
 
-// Guards against this failure: an old request runs after the node was restarted.
-func TestRestartEndsEveryTicket(t *testing.T) {
+// Guards against an old request that runs again after a restart of its node.
+func TestRestartInvalidatesTickets(t *testing.T) {
 	before, _ := newRegistry(once.Config{})
 	minted, err := before.Mint(account)
 	require.NoError(t, err)
@@ -142,7 +145,7 @@
 	require.Equal(t, once.Unknown, after.State(minted, account))
 }
 
-// Guards against this failure: a ticket lives forever, or ends at once.
+// Guards against tickets that never expire or expire at once.
 func TestExpiryFollowsTheMonotonicClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := once.New(once.Config{Node: "n1", Incarnation: 1})
@@ -160,35 +163,37 @@
 	})
 }
 
-func TestCallerThatComesBackJoinsTheRunningAnswer(t *testing.T) {
+// Guards against a caller that reconnects and gets only a part of the answer, or none.
+func TestReconnectedCallerReadsWholeAnswer(t *testing.T) {
 	r, _ := newRegistry(once.Config{})
 	minted, err := r.Mint(account)
 	require.NoError(t, err)
 	record, _, err := r.Redeem(minted, account, once.Print{1})
 	require.NoError(t, err)
-	half, rest := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	record.Run(t.Context(), func(_ context.Context, w http.ResponseWriter) (once.State, error) {
 		w.Header().Set("Content-Type", "text/plain")
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = w.Write([]byte("first "))
-		close(half)
-		<-rest
+		close(started)
+		<-finish
 		_, _ = w.Write([]byte("second"))
 		return once.Done, nil
 	})
-	<-half
+	<-started
 	require.Equal(t, once.Running, r.State(minted, account))
 	require.ErrorIs(t, r.Void(minted, account), once.ErrRunning)
 	again, first, err := r.Redeem(minted, account, once.Print{1})
 	require.NoError(t, err)
 	require.False(t, first)
-	close(rest)
+	close(finish)
 	require.Equal(t, "first second", read(t, again))
 	kept, _, err := r.Redeem(minted, account, once.Print{1})
 	require.NoError(t, err)
 	require.Equal(t, "first second", read(t, kept))
 }
 
+// Guards against a registry that grows with the number of minted tickets or stored answers.
 func TestMemoryIsBounded(t *testing.T) {
 	r, _ := newRegistry(once.Config{Memory: 1000, Answer: 400, Records: 100, Blocks: 2})
 	for range 50 {
@@ -207,8 +212,8 @@
 	require.Equal(t, 1, r.Stats().Blocks, "minted tickets take no memory")
 }
 
-// Guards against this failure: a used ticket runs again under load.
-func TestFullRegistryRefusesInsteadOfForgetting(t *testing.T) {
+// Guards against a used ticket that runs again because a full registry forgot it.
+func TestFullRegistryRejectsNewTickets(t *testing.T) {
 	r, _ := newRegistry(once.Config{Blocks: 1})
 	early, err := r.Mint(account)
 	require.NoError(t, err)
@@ -226,8 +231,8 @@
 	require.ErrorIs(t, err, once.ErrVoid)
 }
 
-// Guards against this failure: a node grows without bound while long answers run.
-func TestLargeAnswerIsPassedOnAndNotKept(t *testing.T) {
+// Guards against a node whose memory grows without bound while long answers are running.
+func TestLargeAnswerIsNotStored(t *testing.T) {
 	r, _ := newRegistry(once.Config{Answer: 64 << 10})
 	minted, err := r.Mint(account)
 	require.NoError(t, err)
