--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -10,57 +10,58 @@
 )
 
 type (
-	// hold is the share that one request's body has of the memory for bodies.
-	hold struct {
+	// reservation is memory that is reserved for one request's body or answer.
+	reservation struct {
 		slots *slots
 		bytes int64
 	}
 
-	// seat is a request with its body and its place among those that wait.
-	seat struct {
+	// pendingRequest is a received request with its body, the memory reserved for
+	// it and its slot among the waiting requests.
+	pendingRequest struct {
 		body []byte
-		held *hold
-		// seated gives back the place of a request that waits.
-		seated func()
+		held *reservation
+		// stopWaiting frees the slot of the waiting request.
+		stopWaiting func()
 	}
 )
 
-// seat takes a place for a request and reads its body.
-func (h *Handler) seat(w http.ResponseWriter, r *http.Request, account string) (*seat, *problem) {
-	done, p := h.slots.wait(account)
+// receive takes a slot among the waiting requests and reads the request's body.
+func (h *Handler) receive(w http.ResponseWriter, r *http.Request, account string) (*pendingRequest, *problem) {
+	done, p := h.slots.startWaiting(account)
 	if p != nil {
 		return nil, p
 	}
-	data, held, p := h.body(w, r)
+	data, held, p := h.readBody(w, r)
 	if p != nil {
 		done()
 		return nil, p
 	}
-	return &seat{body: data, held: held, seated: done}, nil
+	return &pendingRequest{body: data, held: held, stopWaiting: done}, nil
 }
 
-// leave gives back all that the request holds.
-func (s *seat) leave() {
-	s.seated()
+// release frees the slot and the memory of the request.
+func (s *pendingRequest) release() {
+	s.stopWaiting()
 	s.held.release()
 }
 
-// body reads a request's body.
+// readBody reads a request's body.
 //
-// A caller that sends its body a byte at a time would hold memory and a place
-// on the node without end; the read deadline ends it. It is cleared afterwards,
-// as the server reads on to notice callers that hang up.
-func (h *Handler) body(w http.ResponseWriter, r *http.Request) ([]byte, *hold, *problem) {
+// The read deadline keeps a caller that sends its body byte by byte from
+// occupying memory and a slot indefinitely. It is cleared afterwards, since the
+// server keeps reading to detect callers that disconnect.
+func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *reservation, *problem) {
 	size := r.ContentLength
 	if size < 0 {
 		size = h.config.MaxBody
 	}
 	if size > h.config.MaxBody {
-		return nil, nil, largeBody(h.config.MaxBody)
+		return nil, nil, bodyTooLarge(h.config.MaxBody)
 	}
-	held, ok := h.slots.hold(size)
+	held, ok := h.slots.reserve(size)
 	if !ok {
-		return nil, nil, fullOfBodies()
+		return nil, nil, bodyMemoryFull()
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(h.config.ReadTimeout))
@@ -76,35 +77,36 @@
 	return data, held, nil
 }
 
-// hold reserves memory for a body.
-//
-// Limits on each body and on the number of requests still allow many gigabytes
-// together: the node would be killed for its memory, and every request in
-// progress with it. Where the memory for bodies is taken, a request is refused
+// reserve reserves memory for a body. If it returns false, the request is refused
 // before its body is read.
-func (s *slots) hold(bytes int64) (*hold, bool) {
+//
+// The limits on the size of a body and on the number of requests still allow many
+// gigabytes in total. The node would run out of memory and be killed with all
+// requests in progress.
+func (s *slots) reserve(bytes int64) (*reservation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.held+bytes > s.maxHeld {
 		return nil, false
 	}
 	s.held += bytes
-	return &hold{slots: s, bytes: bytes}, true
+	return &reservation{slots: s, bytes: bytes}, true
 }
 
-// empty returns a hold of nothing yet.
-func (s *slots) empty() *hold { return &hold{slots: s} }
+// emptyReservation returns a reservation of zero bytes.
+func (s *slots) emptyReservation() *reservation { return &reservation{slots: s} }
 
-// shrink gives back what the body did not need.
-func (h *hold) shrink(bytes int64) {
+// shrink reduces the reservation to the given size.
+func (h *reservation) shrink(bytes int64) {
 	h.slots.mu.Lock()
 	defer h.slots.mu.Unlock()
 	h.slots.held -= h.bytes - bytes
 	h.bytes = bytes
 }
 
-// grow takes more, for an answer that is kept until it is whole.
-func (h *hold) grow(bytes int) error {
+// grow reserves more memory, for an answer that is buffered until it is complete.
+// It returns endpoint.ErrFull if there is not enough.
+func (h *reservation) grow(bytes int) error {
 	h.slots.mu.Lock()
 	defer h.slots.mu.Unlock()
 	if h.slots.held+int64(bytes) > h.slots.maxHeld {
@@ -115,17 +117,17 @@
 	return nil
 }
 
-// release gives back all of it.
-func (h *hold) release() { h.shrink(0) }
+// release frees the whole reservation.
+func (h *reservation) release() { h.shrink(0) }
 
-func largeBody(limit int64) *problem {
+func bodyTooLarge(limit int64) *problem {
 	return &problem{
 		status: http.StatusRequestEntityTooLarge, kind: "too_large",
 		text: fmt.Sprintf("the body is over %d bytes", limit), ran: RanNot, close: true,
 	}
 }
 
-func fullOfBodies() *problem {
+func bodyMemoryFull() *problem {
 	p := busy(http.StatusServiceUnavailable, "the node holds too many large requests")
 	p.close = true
 	return p
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -18,17 +18,17 @@
 )
 
 func (h *Handler) chat(w http.ResponseWriter, r *http.Request) {
-	v, a, p := h.admit(r)
+	v, a, p := h.authenticate(r)
 	if p != nil {
 		p.write(w)
 		return
 	}
-	s, p := h.seat(w, r, a.Name)
+	s, p := h.receive(w, r, a.Name)
 	if p != nil {
 		p.write(w)
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	c, err := parseChat(s.body)
 	if err != nil {
 		badRequest(err).write(w)
@@ -43,13 +43,13 @@
 		Path: entry.PathChat, Type: "application/json", Body: s.body,
 		Chat: req.Chat, Priority: req.Priority, Deadline: req.Deadline, Once: req.Once,
 	}
-	k := work{view: v, account: a, request: req, call: call, seated: s.seated}
+	k := work{view: v, account: a, request: req, call: call, stopWaiting: s.stopWaiting}
 	k.answer = func(w http.ResponseWriter, run *dispatch.Run) error { return h.answerChat(w, c, req, run) }
 	h.run(w, r, k)
 }
 
-// admit returns the view and the caller's account.
-func (h *Handler) admit(r *http.Request) (*kernel.View, manifest.Account, *problem) {
+// authenticate returns the view and the caller's account.
+func (h *Handler) authenticate(r *http.Request) (*kernel.View, manifest.Account, *problem) {
 	v := h.config.View()
 	if v.Manifest == nil {
 		return nil, manifest.Account{}, notReady()
@@ -63,7 +63,7 @@
 	if !ok {
 		return route.Request{}, notFound("unknown_model", fmt.Sprintf("model %q", c.Model))
 	}
-	req, p := h.common(r, v, a)
+	req, p := h.baseRequest(r, v, a)
 	if p != nil {
 		return req, p
 	}
@@ -90,49 +90,50 @@
 	if c.Stream && streamed && run.Answer.Status == http.StatusOK {
 		return h.stream(w, run)
 	}
-	held := h.slots.empty()
+	held := h.slots.emptyReservation()
 	defer held.release()
 	run.Answer.Meter = held.grow
-	data, err := h.read(run, streamed)
+	data, err := h.readAnswer(run, streamed)
 	if err != nil {
 		return err
 	}
 	if streamed {
 		run.Answer.Header.Set("Content-Type", "application/json")
 	}
-	return h.pass(w, run, data)
+	return h.writeAnswer(w, run, data)
 }
 
-// cachedUnknown tells that an endpoint did not say what it had cached.
+// cachedUnknown means that the number of cached tokens is not known.
 const cachedUnknown = -1
 
-// stream passes a stream on.
+// stream forwards a stream of events.
 func (h *Handler) stream(w http.ResponseWriter, run *dispatch.Run) error {
 	w.Header().Set(HeaderRan, string(RanYes))
-	out := newEvents(w, h.config.WriteTimeout)
-	out.begin()
+	out := newEventWriter(w, h.config.WriteTimeout)
+	out.setHeader()
 	stream := endpoint.NewStream(run.Answer, run.Attempt)
-	err := out.relay(stream)
+	err := out.forward(stream)
 	if err == nil {
 		run.Learn(stream.Passed(), cachedUnknown)
 	}
 	return err
 }
 
-func (h *Handler) read(run *dispatch.Run, streamed bool) ([]byte, error) {
+// readAnswer reads the complete answer, collecting the events if it is a stream.
+func (h *Handler) readAnswer(run *dispatch.Run, streamed bool) ([]byte, error) {
 	switch {
 	case run.Answer.Status != http.StatusOK:
-		return whole(run.Answer, h.config.MaxAnswer)
+		return readWhole(run.Answer, h.config.MaxAnswer)
 	case streamed:
 		return collect(endpoint.NewStream(run.Answer, run.Attempt), h.config.MaxAnswer, run.Answer.Meter)
 	default:
-		return wholeChat(run, h.config.MaxAnswer)
+		return readChat(run, h.config.MaxAnswer)
 	}
 }
 
-func (h *Handler) logBroken(err error, req route.Request, run *dispatch.Run) {
+func (h *Handler) logIncomplete(err error, req route.Request, run *dispatch.Run) {
 	h.config.Log.WithError(err).WithFields(logrus.Fields{
 		"request": strconv.FormatUint(req.ID, 16), "chat": req.Chat, "account": req.Account,
 		"endpoint": run.Endpoint.Name, "attempt": run.Attempt,
-	}).Warn("answer not delivered whole")
+	}).Warn("answer not delivered completely")
 }
--- a/internal/caller/entry.go
+++ b/internal/caller/entry.go
@@ -17,26 +17,26 @@
 const (
 	entryKeep   = 30 * time.Second
 	entryJitter = 10 * time.Second
-	// maxEntryNodes bounds the answer; maxEntryNear keeps room in it for nodes
-	// outside the best group, so that a caller whose availability zone fails
-	// still knows where to go.
+	// maxEntryNodes limits the answer. maxEntryBest limits the nodes of the best
+	// group, so that a caller whose availability zone fails still knows others.
 	maxEntryNodes = 8
-	maxEntryNear  = 6
-	// loadSlack is how far above the mean a node's load may lie before chats
-	// move away from it, and nearShare how far before callers of its own
-	// availability zone do. loadFloor keeps small numbers from counting, and
-	// loadPower is how fast chances fall with the load above.
-	loadSlack = 1.1
-	loadPower = 4.0
-	nearShare = 2.0
-	loadFloor = 8.0
+	maxEntryBest  = 6
+	// A node gets fewer chats if its load exceeds loadSlack times the mean, and
+	// callers of its own availability zone no longer prefer it above zoneSlack
+	// times the mean. loadFloor is added to both limits, so that small loads do
+	// not matter. loadExponent determines how fast a node's weight falls above
+	// the limit.
+	loadSlack    = 1.1
+	loadExponent = 4.0
+	zoneSlack    = 2.0
+	loadFloor    = 8.0
 )
 
-// Groups of nodes, the best first.
+// Groups of nodes in the order of preference.
 const (
 	groupZone = iota
 	groupRegion
-	groupFar
+	groupOther
 	groupSuspect
 )
 
@@ -64,14 +64,14 @@
 	}
 	answer := entry.Answer{
 		KeepMS:  (entryKeep + rand.N(entryJitter)).Milliseconds(),
-		Tickets: h.freshTickets(r, EntryTickets),
+		Tickets: h.mintTickets(r, EntryTickets),
 	}
 	for _, n := range nodes {
 		answer.Nodes = append(answer.Nodes, n.Caller)
 	}
 	data, err := json.Marshal(answer)
 	if err != nil {
-		refused(err).write(w)
+		dispatchProblem(err).write(w)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -81,13 +81,13 @@
 }
 
 // Nodes returns the nodes for a chat, best first: those of the caller's
-// availability zone, then of its region, then others, and those that did not
-// answer of late at the end. Nodes that are stopping are left out.
+// availability zone, then those of its region, then others, and suspect nodes
+// last. Leaving and dead nodes are omitted.
 //
-// Within a group the order is a rendezvous order weighted by load, so that a
-// chat comes back to the same nodes while loads are even and leaves one that
-// carries more than its share. The weights only lower chances: callers that ask
-// at the same moment don't all go to the least loaded node.
+// Within a group, nodes are sorted by rendezvous hashing weighted by load, so
+// that a chat returns to the same nodes while the load is balanced, and moves
+// away from overloaded ones. Weights only lower probabilities: callers that ask
+// at the same time do not all go to the least loaded node.
 func Nodes(v *kernel.View, zone, chat string) []kernel.Node {
 	mean := meanActive(v.Nodes)
 	var all []candidate
@@ -103,7 +103,7 @@
 	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(b.score, a.score))
 	})
-	return spread(all)
+	return limitNodes(all)
 }
 
 func meanActive(nodes []kernel.Node) float64 {
@@ -121,33 +121,34 @@
 	switch {
 	case n.State == kernel.Suspect:
 		return groupSuspect
-	case n.Zone == zone && float64(n.Active) <= nearShare*mean+loadFloor:
+	case n.Zone == zone && float64(n.Active) <= zoneSlack*mean+loadFloor:
 		return groupZone
 	case n.Zone == zone:
 		return groupRegion
 	case v.Manifest != nil && zone != "" && v.Manifest.Region(zone) != "" && v.Manifest.Region(n.Zone) == v.Manifest.Region(zone):
 		return groupRegion
 	default:
-		return groupFar
+		return groupOther
 	}
 }
 
-// score is the node's weighted rendezvous score: among nodes of weights w the
-// one with the highest score wins a chat with a chance in proportion to w.
+// score returns the node's weighted rendezvous score: a node has the highest
+// score for a chat with a probability proportional to its weight.
 func score(n kernel.Node, chat string, mean float64) float64 {
 	weight := 1.0
 	if share := loadSlack*mean + loadFloor; float64(n.Active) > share {
-		weight = math.Pow(share/float64(n.Active), loadPower)
+		weight = math.Pow(share/float64(n.Active), loadExponent)
 	}
 	uniform := (float64(kernel.Score(chat, n.Name)>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(uniform)
 }
 
-// spread shortens a list of candidates so that not all are of the best group.
-func spread(all []candidate) []kernel.Node {
+// limitNodes shortens a list of candidates to maxEntryNodes, with at most
+// maxEntryBest of the best group if others can take their place.
+func limitNodes(all []candidate) []kernel.Node {
 	var nodes, rest []kernel.Node
 	for _, c := range all {
-		if c.group == all[0].group && len(nodes) >= maxEntryNear {
+		if c.group == all[0].group && len(nodes) >= maxEntryBest {
 			rest = append(rest, c.node)
 			continue
 		}
--- a/internal/caller/entry_test.go
+++ b/internal/caller/entry_test.go
@@ -17,8 +17,8 @@
 
 const entryChats = 4000
 
-// fleet is a view of nodes n0, n1, ..., three availability zones in turn, of
-// which the first two make one region.
+// fleet returns a view of nodes n0, n1, ..., which are spread over three
+// availability zones. The first two zones form one region.
 func fleet(nodes int) *kernel.View {
 	v := &kernel.View{Manifest: &manifest.Manifest{Zones: []manifest.Zone{
 		{Name: "z0", Region: "east"}, {Name: "z1", Region: "east"}, {Name: "z2", Region: "west"},
@@ -32,8 +32,8 @@
 	return v
 }
 
-// firsts counts which node comes first for many chats.
-func firsts(v *kernel.View, zone string) map[string]int {
+// firstChoices counts for how many of entryChats chats each node is the first choice.
+func firstChoices(v *kernel.View, zone string) map[string]int {
 	count := map[string]int{}
 	for i := range entryChats {
 		count[caller.Nodes(v, zone, fmt.Sprintf("chat-%d", i))[0].Name]++
@@ -41,6 +41,8 @@
 	return count
 }
 
+// Guards against callers who are sent to another availability zone or region, or to a suspect
+// node, while there is a better node.
 func TestEntryPrefersZoneThenRegion(t *testing.T) {
 	v := fleet(6)
 	v.Nodes[0].State = kernel.Suspect
@@ -53,7 +55,8 @@
 	}
 }
 
-func TestEntryLeavesOutNodesThatTakeNoWork(t *testing.T) {
+// Guards against callers who are sent to a node that is leaving, dead or not configured.
+func TestEntryOmitsUnavailableNodes(t *testing.T) {
 	v := fleet(4)
 	v.Self = v.Nodes[3]
 	v.Nodes[1].State = kernel.Leaving
@@ -63,9 +66,11 @@
 	require.Len(t, caller.Nodes(v, "", "c"), 1, "the node itself has no configuration yet")
 }
 
-func TestEntrySendsChatsBackAndSpreadsThem(t *testing.T) {
+// Guards against chats that are unevenly distributed, or that change their node because of a
+// small difference in load.
+func TestEntryOrderIsEvenAndStable(t *testing.T) {
 	v := fleet(8)
-	before := firsts(v, "")
+	before := firstChoices(v, "")
 	for name, n := range before {
 		require.InDelta(t, entryChats/8, n, entryChats/20, name)
 	}
@@ -73,26 +78,28 @@
 	for i := range v.Nodes {
 		v.Nodes[i].Active = 100 + i
 	}
-	require.Equal(t, order, withoutActive(caller.Nodes(v, "", "chat-1")), "loads that are nearly even move nobody")
+	require.Equal(t, order, withoutActive(caller.Nodes(v, "", "chat-1")), "small differences in load must not change the order")
 }
 
-// Guards against this failure: one node serves far more callers than the others.
+// Guards against a node that keeps getting callers while it serves far more than the others.
 func TestEntryMovesChatsOffLoadedNodes(t *testing.T) {
 	v := fleet(8)
 	for i := range v.Nodes {
 		v.Nodes[i].Active = 100
 	}
 	v.Nodes[0].Active = 900
-	count := firsts(v, "")
+	count := firstChoices(v, "")
 	require.Less(t, count["n0"], entryChats/8*2/5)
-	require.Positive(t, count["n0"], "a loaded node is not dropped, or its load would swing")
+	require.Positive(t, count["n0"], "a loaded node must not be dropped, or its load would oscillate")
 	for i := 1; i < 8; i++ {
 		require.Greater(t, count[fmt.Sprintf("n%d", i)], entryChats/8)
 	}
-	near := firsts(v, "z0")
-	require.Zero(t, near["n0"], "the zone's other nodes go first")
+	near := firstChoices(v, "z0")
+	require.Zero(t, near["n0"], "the zone's other nodes must come first")
 }
 
+// Guards against an entry answer that grows with the fleet, or that has nodes of one
+// availability zone only, so that the zone's failure leaves its callers without a node.
 func TestEntryAnswerIsBoundedAndSpansZones(t *testing.T) {
 	v := fleet(60)
 	nodes := caller.Nodes(v, "z0", "c")
@@ -104,7 +111,8 @@
 	require.Equal(t, 6, zones["z0"])
 }
 
-func TestEntryAnswersExpireApart(t *testing.T) {
+// Guards against callers who got entry answers together and renew them all at the same time.
+func TestEntryAnswersExpireAtDifferentTimes(t *testing.T) {
 	s, _ := serve(t, &endpoints{}, caller.Config{})
 	resp, text, err := do(t, request(t, "GET", s.URL+entry.PathEntry, ""))
 	require.NoError(t, err)
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -27,17 +27,19 @@
 const secret = "secret"
 
 type (
-	// endpoints answers calls in place of an endpoint.
+	// endpoints fakes and counts the answers of endpoints.
 	endpoints struct {
 		calls  atomic.Int64
 		answer func(ctx context.Context, call endpoint.Call) (*endpoint.Answer, error)
 	}
 
+	// openGate grants every permit.
 	openGate struct{}
 
-	noSink struct{}
+	// discardSink discards events.
+	discardSink struct{}
 
-	// body is a response body that tells when it is closed.
+	// body is a response body that closes a channel when it is closed.
 	body struct {
 		io.Reader
 		closed chan struct{}
@@ -49,7 +51,7 @@
 	return e.answer(ctx, call)
 }
 
-// Apply grants every ask.
+// Apply grants every permit request.
 func (openGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
 	verdicts := make([]gate.Verdict, len(b.Asks))
 	for i := range verdicts {
@@ -58,7 +60,7 @@
 	return gate.Reply{Verdicts: verdicts}
 }
 
-func (noSink) Offer(kernel.Event) {}
+func (discardSink) Offer(kernel.Event) {}
 
 func (b *body) Close() error {
 	close(b.closed)
@@ -67,7 +69,8 @@
 
 func newBody(r io.Reader) *body { return &body{Reader: r, closed: make(chan struct{})} }
 
-// view is that of a lone node before one chat service and one plain service.
+// view returns the view of a single node with one chat service and one plain
+// service.
 func view() *kernel.View {
 	m := &manifest.Manifest{
 		Revision: 1,
@@ -86,25 +89,25 @@
 	return v
 }
 
-// handler returns a handler before the endpoints.
+// handler returns a handler that dispatches to the endpoints.
 func handler(e *endpoints, v *kernel.View, limits caller.Config) *caller.Handler {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	limits.View = func() *kernel.View { return v }
 	limits.Log = log
-	limits.Dispatcher = dispatch.New(dispatch.Config{View: limits.View, Gate: openGate{}, Endpoints: e, Sink: noSink{}})
+	limits.Dispatcher = dispatch.New(dispatch.Config{View: limits.View, Gate: openGate{}, Endpoints: e, Sink: discardSink{}})
 	limits.Tickets = once.New(once.Config{Node: v.Self.Name, Incarnation: 1})
 	return caller.New(limits)
 }
 
-// serve runs a handler before the endpoints over a real socket. Its callers'
-// side of each connection has a small receive buffer.
+// serve starts a server on a real socket for a handler that dispatches to the
+// endpoints.
 func serve(t *testing.T, e *endpoints, limits caller.Config) (*httptest.Server, *caller.Handler) {
 	t.Helper()
 	return serveView(t, e, view(), limits)
 }
 
-// serveView is serve for a node with a view of its own.
+// serveView is serve with the given view.
 func serveView(t *testing.T, e *endpoints, v *kernel.View, limits caller.Config) (*httptest.Server, *caller.Handler) {
 	t.Helper()
 	h := handler(e, v, limits)
@@ -154,20 +157,20 @@
 	return c
 }
 
-// iotestError is a reader that fails.
-type iotestError struct{}
+// errorReader is a reader that always fails.
+type errorReader struct{}
 
-func (iotestError) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (errorReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// endless repeats a text without end.
-func endless(text string) io.Reader { return &repeated{text: text} }
+// endless returns a reader that repeats a text indefinitely.
+func endless(text string) io.Reader { return &repeatingReader{text: text} }
 
-type repeated struct {
+type repeatingReader struct {
 	text string
 	at   int
 }
 
-func (r *repeated) Read(p []byte) (int, error) {
+func (r *repeatingReader) Read(p []byte) (int, error) {
 	n := copy(p, r.text[r.at:])
 	r.at = (r.at + n) % len(r.text)
 	return n, nil
@@ -181,10 +184,10 @@
 	return w.Body.Bytes()
 }
 
-// stalled is a reader that gives nothing until its context ends.
-type stalled struct{ ctx context.Context }
+// stalledReader is a reader that blocks until its context ends.
+type stalledReader struct{ ctx context.Context }
 
-func (s stalled) Read([]byte) (int, error) {
+func (s stalledReader) Read([]byte) (int, error) {
 	<-s.ctx.Done()
 	return 0, s.ctx.Err()
 }
--- a/internal/caller/limits_test.go
+++ b/internal/caller/limits_test.go
@@ -16,6 +16,8 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
+// Guards against a client account, or all of them together, that fill the node with requests
+// waiting for an endpoint.
 func TestWaitingRequestsAreBounded(t *testing.T) {
 	entered := make(chan struct{})
 	leave := make(chan struct{})
@@ -26,19 +28,19 @@
 	}}
 	s, h := serve(t, e, caller.Config{MaxAccount: 1, MaxWaiting: 2, MaxActive: 3})
 	whole := make(chan error, 2)
-	ask := func(key string) {
+	send := func(key string) {
 		go func() {
 			_, _, err := do(t, request(t, "POST", s.URL+entry.PathChat, chatBody, "Authorization", "Bearer "+key))
 			whole <- err
 		}()
 		<-entered
 	}
-	ask(secret)
+	send(secret)
 	resp, text, _ := do(t, request(t, "POST", s.URL+entry.PathChat, chatBody))
 	require.Equal(t, http.StatusTooManyRequests, resp.StatusCode)
 	require.Contains(t, text, `"ran":"not_run"`)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	ask("other")
+	send("other")
 	resp, _, _ = do(t, request(t, "POST", s.URL+entry.PathChat, chatBody, "Authorization", "Bearer other"))
 	require.Equal(t, http.StatusTooManyRequests, resp.StatusCode)
 	close(leave)
@@ -47,8 +49,8 @@
 	require.NoError(t, h.Wait(t.Context()))
 }
 
-// Guards against this failure: memory grows and engines stay taken.
-func TestSlowReadersAreCutOff(t *testing.T) {
+// Guards against callers who stop reading and keep engines and the node's memory occupied.
+func TestSlowReadersAreDisconnected(t *testing.T) {
 	answer := &body{closed: make(chan struct{})}
 	e := &endpoints{answer: func(_ context.Context, call endpoint.Call) (*endpoint.Answer, error) {
 		answer.Reader = endless(events(call.Attempt))
@@ -64,8 +66,8 @@
 	<-answer.closed
 }
 
-// Guards against this failure: a place on the node is taken without end.
-func TestSlowWritersAreCutOff(t *testing.T) {
+// Guards against callers who never finish sending a body and occupy a slot indefinitely.
+func TestSlowWritersAreDisconnected(t *testing.T) {
 	e := &endpoints{}
 	s, h := serve(t, e, caller.Config{ReadTimeout: 50 * time.Millisecond})
 	c := dial(t, s)
@@ -77,7 +79,8 @@
 	require.NoError(t, h.Wait(t.Context()))
 }
 
-// Guards against this failure: a node is killed for its memory, and all its requests with it.
+// Guards against request bodies that exceed the node's memory together, so that it is killed
+// with all its requests.
 func TestMemoryOfBodiesIsBounded(t *testing.T) {
 	entered := make(chan struct{})
 	leave := make(chan struct{})
@@ -118,7 +121,7 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode, text)
 }
 
-// The same for answers that are not streamed.
+// Guards against unstreamed answers that exceed the node's memory together.
 func TestMemoryOfAnswersIsBounded(t *testing.T) {
 	stream := false
 	e := &endpoints{answer: func(_ context.Context, call endpoint.Call) (*endpoint.Answer, error) {
--- a/internal/caller/page_test.go
+++ b/internal/caller/page_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRefusalsPage fails where a refusal of the source is missing on the
-// operators' page, or one is named there that does not exist.
+// TestRefusalsPage guards against a refusal type that is missing from the
+// operators' page, or listed there but not in the source.
 func TestRefusalsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/refusals.md")
 	require.NoError(t, err)
@@ -37,8 +37,8 @@
 	require.Equal(t, kinds, listed)
 }
 
-// collectKinds adds the text of every field kind of a literal, of every first
-// argument of notFound and of every constant of type Reason.
+// collectKinds adds the string of every field kind of a composite literal, of
+// every first argument of notFound and of every constant of type Reason.
 func collectKinds(t *testing.T, file string, kinds map[string]bool) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
--- a/internal/caller/passing.go
+++ b/internal/caller/passing.go
@@ -14,106 +14,108 @@
 	errorEvent = []byte(`data: {"error":`)
 )
 
-// passing is the writer of an answer that comes piece by piece from the run of a
-// ticket, at this node or another. It passes a stream on by whole events, so that
-// one more can follow wherever it ends, and any other answer once that is whole:
-// one that breaks off cannot say so.
-type passing struct {
+// ticketWriter writes the answer of a ticket's run, at this node or another, to a
+// caller. It forwards a stream by complete events, so that an error event can be
+// appended wherever the stream breaks. It buffers any other answer until it is
+// complete, since a truncated one has no place for an error.
+type ticketWriter struct {
 	http.ResponseWriter
-	events *events
-	held   *hold
-	// header is that of the answer; a refusal in its place has none of it.
+	events *eventWriter
+	held   *reservation
+	// header is the header of the answer. It is kept apart so that a refusal
+	// sent instead of the answer has none of its fields.
 	header http.Header
 	status int
-	// rest is what is not passed on yet.
-	rest []byte
-	// begun is set once the caller was given some of the answer, told while the
-	// last event of a stream says why it ends early.
-	begun bool
-	told  bool
+	// buffer is the part of the answer that is not forwarded yet.
+	buffer []byte
+	// started is set once a part of the answer was sent to the caller. errorSent is
+	// set while the last forwarded event is an error event.
+	started   bool
+	errorSent bool
 }
 
-func (h *Handler) newPassing(w http.ResponseWriter) *passing {
-	return &passing{ResponseWriter: w, events: newEvents(w, h.config.WriteTimeout), held: h.slots.empty(), header: http.Header{}}
+func (h *Handler) newTicketWriter(w http.ResponseWriter) *ticketWriter {
+	return &ticketWriter{ResponseWriter: w, events: newEventWriter(w, h.config.WriteTimeout), held: h.slots.emptyReservation(), header: http.Header{}}
 }
 
-// Unwrap returns the writer below, for http.ResponseController.
-func (p *passing) Unwrap() http.ResponseWriter { return p.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (p *ticketWriter) Unwrap() http.ResponseWriter { return p.ResponseWriter }
 
 // Header returns the header of the answer.
-func (p *passing) Header() http.Header { return p.header }
+func (p *ticketWriter) Header() http.Header { return p.header }
 
-// WriteHeader takes the head of the answer.
-func (p *passing) WriteHeader(status int) {
+// WriteHeader sets the status. The head of a stream is sent at once.
+func (p *ticketWriter) WriteHeader(status int) {
 	p.status = status
-	if p.streams() {
-		p.begin()
+	if p.streaming() {
+		p.writeHead()
 	}
 }
 
-// Write takes a piece of the answer.
-func (p *passing) Write(data []byte) (int, error) {
-	if !p.streams() {
+// Write forwards or buffers a piece of the answer.
+func (p *ticketWriter) Write(data []byte) (int, error) {
+	if !p.streaming() {
 		if err := p.held.grow(len(data)); err != nil {
 			return 0, err
 		}
 	}
-	p.rest = append(p.rest, data...)
-	if !p.streams() {
+	p.buffer = append(p.buffer, data...)
+	if !p.streaming() {
 		return len(data), nil
 	}
-	whole := bytes.LastIndex(p.rest, eventEnd)
+	whole := bytes.LastIndex(p.buffer, eventEnd)
 	if whole < 0 {
 		return len(data), nil
 	}
 	whole += len(eventEnd)
-	if err := p.pass(p.rest[:whole]); err != nil {
+	if err := p.forward(p.buffer[:whole]); err != nil {
 		return 0, err
 	}
-	p.rest = append(p.rest[:0], p.rest[whole:]...)
+	p.buffer = append(p.buffer[:0], p.buffer[whole:]...)
 	return len(data), nil
 }
 
-// FlushError sends what was passed on.
-func (p *passing) FlushError() error {
-	if !p.begun {
+// FlushError flushes the forwarded data.
+func (p *ticketWriter) FlushError() error {
+	if !p.started {
 		return nil
 	}
 	return p.events.flush()
 }
 
-// finish passes on the rest of an answer that came whole.
-func (p *passing) finish() error {
+// finish forwards the rest of a complete answer.
+func (p *ticketWriter) finish() error {
 	if p.status == 0 {
 		return errNoAnswer
 	}
-	if !p.begun {
-		p.begin()
+	if !p.started {
+		p.writeHead()
 	}
-	return p.pass(p.rest)
+	return p.forward(p.buffer)
 }
 
-// release gives back the memory of an answer that is not a stream.
-func (p *passing) release() { p.held.release() }
+// release frees the memory of a buffered answer.
+func (p *ticketWriter) release() { p.held.release() }
 
-func (p *passing) streams() bool {
+func (p *ticketWriter) streaming() bool {
 	return isStream(p.header)
 }
 
-func (p *passing) begin() {
-	p.begun = true
+func (p *ticketWriter) writeHead() {
+	p.started = true
 	maps.Copy(p.ResponseWriter.Header(), p.header)
 	p.ResponseWriter.WriteHeader(p.status)
 }
 
-func (p *passing) pass(data []byte) error {
-	p.events.keepAlive()
-	p.told = bytes.HasPrefix(lastEvent(data), errorEvent)
+func (p *ticketWriter) forward(data []byte) error {
+	p.events.extendDeadline()
+	p.errorSent = bytes.HasPrefix(lastEvent(data), errorEvent)
 	_, err := p.ResponseWriter.Write(data)
 	return err
 }
 
-// lastEvent returns the last of some whole events.
+// lastEvent returns the last event of data, which must consist of complete
+// events.
 func lastEvent(data []byte) []byte {
 	data = bytes.TrimSuffix(data, eventEnd)
 	if i := bytes.LastIndex(data, eventEnd); i >= 0 {
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -15,10 +15,10 @@
 const plainMethods = "GET, POST, PUT, PATCH, DELETE"
 
 var (
-	// passedOn is the headers of a call that a plain service sees.
-	passedOn = []string{"Accept", "Accept-Language", "If-Match", "If-None-Match", "Traceparent", "Tracestate"}
+	// requestHeaders is the request headers that are forwarded to plain services.
+	requestHeaders = []string{"Accept", "Accept-Language", "If-Match", "If-None-Match", "Traceparent", "Tracestate"}
 
-	errDots = errors.New("path: . and .. are not allowed")
+	errDotSegments = errors.New("path: . and .. are not allowed")
 )
 
 func (h *Handler) plain(w http.ResponseWriter, r *http.Request) {
@@ -26,7 +26,7 @@
 		notAllowed(plainMethods)(w, r)
 		return
 	}
-	v, a, p := h.admit(r)
+	v, a, p := h.authenticate(r)
 	if p != nil {
 		p.write(w)
 		return
@@ -36,17 +36,17 @@
 		notFound("unknown_service", "no such plain service").write(w)
 		return
 	}
-	if hasDots(r.PathValue("rest")) {
-		badRequest(errDots).write(w)
+	if hasDotSegments(r.PathValue("rest")) {
+		badRequest(errDotSegments).write(w)
 		return
 	}
-	s, p := h.seat(w, r, a.Name)
+	s, p := h.receive(w, r, a.Name)
 	if p != nil {
 		p.write(w)
 		return
 	}
-	defer s.leave()
-	req, p := h.common(r, v, a)
+	defer s.release()
+	req, p := h.baseRequest(r, v, a)
 	if p != nil {
 		p.write(w)
 		return
@@ -57,25 +57,26 @@
 	req.Output = 1
 	call := endpoint.Call{
 		Method: r.Method, Path: r.URL.RequestURI(), Type: r.Header.Get("Content-Type"), Body: s.body,
-		Header: chosen(r.Header), Priority: req.Priority, Deadline: req.Deadline, Once: req.Once,
+		Header: forwardedHeaders(r.Header), Priority: req.Priority, Deadline: req.Deadline, Once: req.Once,
 	}
-	h.run(w, r, work{view: v, account: a, request: req, call: call, seated: s.seated, answer: h.answerPlain})
+	h.run(w, r, work{view: v, account: a, request: req, call: call, stopWaiting: s.stopWaiting, answer: h.answerPlain})
 }
 
 func (h *Handler) answerPlain(w http.ResponseWriter, run *dispatch.Run) error {
-	held := h.slots.empty()
+	held := h.slots.emptyReservation()
 	defer held.release()
 	run.Answer.Meter = held.grow
-	data, err := whole(run.Answer, h.config.MaxAnswer)
+	data, err := readWhole(run.Answer, h.config.MaxAnswer)
 	if err != nil {
 		return err
 	}
-	return h.pass(w, run, data)
+	return h.writeAnswer(w, run, data)
 }
 
-func chosen(all http.Header) http.Header {
+// forwardedHeaders returns the headers that are forwarded to plain services.
+func forwardedHeaders(all http.Header) http.Header {
 	some := http.Header{}
-	for _, name := range passedOn {
+	for _, name := range requestHeaders {
 		if values := all.Values(name); len(values) > 0 {
 			some[name] = values
 		}
@@ -83,9 +84,9 @@
 	return some
 }
 
-// hasDots reports whether a path climbs. An endpoint that resolves an escaped
-// ".." would serve what lies outside its service.
-func hasDots(path string) bool {
+// hasDotSegments reports whether a path contains a dot segment. An endpoint that
+// resolves an escaped ".." would serve resources outside its service.
+func hasDotSegments(path string) bool {
 	for part := range strings.SplitSeq(path, "/") {
 		if part == "." || part == ".." {
 			return true
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -15,7 +15,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// What is known of a request that got no whole answer.
+// Whether a request without a complete answer ran at an endpoint.
 const (
 	RanNot     = entry.RanNot
 	RanUnknown = entry.RanUnknown
@@ -23,20 +23,21 @@
 )
 
 const (
-	// DefaultRetry is when a refused caller may come back.
+	// DefaultRetry is the minimum delay before a refused caller may retry.
 	DefaultRetry = time.Second
-	// retryJitter spreads the callers that are refused together.
+	// retryJitter is the maximum random delay added to DefaultRetry, so that
+	// callers refused together do not retry together.
 	retryJitter = 500 * time.Millisecond
 )
 
-// problem is a refusal.
+// problem is a refusal or an error that is reported to the caller.
 type problem struct {
 	status int
 	kind   string
 	text   string
 	ran    entry.Ran
 	retry  time.Duration
-	// close ends the connection after the answer.
+	// close closes the connection after the answer.
 	close bool
 }
 
@@ -50,7 +51,7 @@
 }
 
 func (p *problem) write(w http.ResponseWriter) {
-	p = p.unless(w)
+	p = p.forWriter(w)
 	data, err := json.Marshal(p.body())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -100,7 +101,7 @@
 	return &problem{status: http.StatusNotFound, kind: kind, text: text, ran: RanNot}
 }
 
-// notAllowed returns a handler that names the methods a path has.
+// notAllowed returns a handler that responds with the methods a path supports.
 func notAllowed(methods string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", methods)
@@ -112,7 +113,8 @@
 	}
 }
 
-func refused(err error) *problem {
+// dispatchProblem returns the problem for an error of the dispatcher.
+func dispatchProblem(err error) *problem {
 	var r *dispatch.Refusal
 	if !errors.As(err, &r) {
 		return &problem{status: http.StatusInternalServerError, kind: "internal", text: err.Error(), ran: RanUnknown}
@@ -132,30 +134,31 @@
 	return p
 }
 
-// cut is an answer that ended early, after the endpoint had begun it.
-func cut() *problem {
+// truncated is the problem of an answer that the endpoint started but did not complete.
+func truncated() *problem {
 	return &problem{
 		status: http.StatusBadGateway, kind: "cut",
 		text: "the endpoint's answer ended early; send the request again if it may be repeated", ran: RanYes, retry: retryDelay(),
 	}
 }
 
-func tooLong(limit int64) *problem {
+func answerTooLarge(limit int64) *problem {
 	return &problem{
 		status: http.StatusBadGateway, kind: "answer_too_large",
 		text: fmt.Sprintf("the endpoint's answer is over %d bytes", limit), ran: RanYes,
 	}
 }
 
-// noRoom is an answer for which the node has no memory.
-func noRoom() *problem {
+// answerMemoryFull is the problem of an answer for which the node has no memory.
+func answerMemoryFull() *problem {
 	return &problem{
 		status: http.StatusServiceUnavailable, kind: "busy",
 		text: "the node holds too many large answers", ran: RanYes, retry: retryDelay(),
 	}
 }
 
-func late() *problem {
+// deadlineExceeded is the problem of an answer that was not complete at the deadline.
+func deadlineExceeded() *problem {
 	return &problem{
 		status: http.StatusGatewayTimeout, kind: "deadline",
 		text: "the deadline passed within the answer; give the request more time", ran: RanYes,
--- a/internal/caller/relay.go
+++ b/internal/caller/relay.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// extendShare is the part of a write deadline that passes before it is moved.
-	extendShare = 4
+	// The write deadline is extended each time 1/extendFraction of the write
+	// timeout has passed.
+	extendFraction = 4
 
 	headerType = "Content-Type"
 	typeStream = "text/event-stream"
 )
 
-// events writes a stream of server-sent events.
-type events struct {
+// eventWriter writes a stream of server-sent events.
+type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	timeout time.Duration
-	// extend is when the write deadline is moved again.
-	extend time.Time
-	buffer []byte
+	// nextExtension is the time at which the write deadline is next extended.
+	nextExtension time.Time
+	buffer        []byte
 }
 
-// isStream reports whether an answer with a header is a stream of events.
+// isStream reports whether the header is that of a stream of events.
 func isStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get(headerType), typeStream)
 }
 
-func newEvents(w http.ResponseWriter, timeout time.Duration) *events {
-	return &events{w: w, control: http.NewResponseController(w), timeout: timeout}
+func newEventWriter(w http.ResponseWriter, timeout time.Duration) *eventWriter {
+	return &eventWriter{w: w, control: http.NewResponseController(w), timeout: timeout}
 }
 
-// begin sets the head of a stream.
-func (e *events) begin() {
+// setHeader sets the header fields of a stream.
+func (e *eventWriter) setHeader() {
 	e.w.Header().Set(headerType, typeStream)
 	e.w.Header().Set("Cache-Control", "no-store")
 }
 
-// relay passes a stream on as it comes. The caller sees the end mark only
-// after the endpoint's own.
-func (e *events) relay(s *endpoint.Stream) error {
+// forward writes a stream as it arrives. It writes the end mark only after it has
+// received the endpoint's end mark.
+func (e *eventWriter) forward(s *endpoint.Stream) error {
 	for {
 		data, err := s.Next()
 		if errors.Is(err, io.EOF) {
@@ -58,7 +59,7 @@
 		if err := e.write(data); err != nil {
 			return err
 		}
-		// Where the endpoint is ahead, its events go out together.
+		// Events that have already arrived are flushed together.
 		if s.More() {
 			continue
 		}
@@ -68,8 +69,8 @@
 	}
 }
 
-// fail ends a cut stream with an event that says so.
-func (e *events) fail(p *problem) error {
+// writeProblem ends a truncated stream with an error event.
+func (e *eventWriter) writeProblem(p *problem) error {
 	data, err := json.Marshal(p.body())
 	if err != nil {
 		return err
@@ -80,8 +81,8 @@
 	return e.flush()
 }
 
-func (e *events) write(data []byte) error {
-	e.keepAlive()
+func (e *eventWriter) write(data []byte) error {
+	e.extendDeadline()
 	e.buffer = append(e.buffer[:0], "data: "...)
 	e.buffer = append(e.buffer, data...)
 	e.buffer = append(e.buffer, "\n\n"...)
@@ -89,17 +90,17 @@
 	return err
 }
 
-func (e *events) flush() error { return e.control.Flush() }
+func (e *eventWriter) flush() error { return e.control.Flush() }
 
-// keepAlive moves the write deadline.
+// extendDeadline extends the write deadline.
 //
-// A caller that stops reading would hold its engine and the node's memory until
-// the request's deadline; a write that makes no headway fails sooner.
-func (e *events) keepAlive() {
+// A caller that stops reading would occupy an engine and the node's memory until
+// the request's deadline. The write deadline ends such a request sooner.
+func (e *eventWriter) extendDeadline() {
 	now := time.Now()
-	if now.Before(e.extend) {
+	if now.Before(e.nextExtension) {
 		return
 	}
-	e.extend = now.Add(e.timeout / extendShare)
+	e.nextExtension = now.Add(e.timeout / extendFraction)
 	_ = e.control.SetWriteDeadline(now.Add(e.timeout))
 }
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -25,9 +25,9 @@
 	bytesPerToken = 4
 	defaultOutput = 256
 	bearer        = "Bearer "
-	// maxChatBytes is the size of the longest chat name.
+	// maxChatBytes is the maximum length of a chat name, in bytes.
 	maxChatBytes = 256
-	// maxOutput is the most tokens that a request can ask for.
+	// maxOutput is the maximum number of tokens that a request may ask for.
 	maxOutput = 1 << 20
 )
 
@@ -37,8 +37,8 @@
 	errOnce     = errors.New(HeaderOnce + " must be true or false")
 )
 
-// account returns the client account whose key the caller shows. Only the
-// key's digest stands in the manifest.
+// account returns the client account that the caller's key belongs to. The
+// manifest has only the digests of keys.
 func account(v *kernel.View, r *http.Request) (manifest.Account, *problem) {
 	denied := &problem{status: http.StatusUnauthorized, kind: "unauthorized", text: "unknown key", ran: RanNot}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
@@ -52,8 +52,8 @@
 	return a, nil
 }
 
-// common fills in what both kinds of requests share.
-func (h *Handler) common(r *http.Request, v *kernel.View, a manifest.Account) (route.Request, *problem) {
+// baseRequest returns a request with the fields that chat and plain requests share.
+func (h *Handler) baseRequest(r *http.Request, v *kernel.View, a manifest.Account) (route.Request, *problem) {
 	req := route.Request{ID: rand.Uint64(), Account: a.Name, Zone: v.Self.Zone, Priority: a.Priority}
 	timeout := h.config.Timeout
 	if s := r.Header.Get(HeaderTimeout); s != "" {
@@ -107,22 +107,24 @@
 	return c, nil
 }
 
-// chatName returns the name under which a chat's prefix is cached: the one the
-// caller gives, or one made from the chat's first turn, which every later turn
-// repeats. It begins with the account, escaped, so that accounts never share a
-// chat: account "a" with chat "b/c" is not account "a/b" with chat "c".
+// chatName returns the name under which a chat's prefix is cached: the name given
+// by the caller, or a digest of the chat's first turn, which every later turn
+// repeats. It begins with the escaped account, so that accounts never share a
+// chat: account "a" with chat "b/c" differs from account "a/b" with chat "c".
 func chatName(r *http.Request, account string, c endpoint.ChatRequest) (string, *problem) {
 	name := r.Header.Get(HeaderChat)
 	if len(name) > maxChatBytes {
 		return "", badRequest(errLongName)
 	}
 	if name == "" {
-		name = firstTurn(c)
+		name = firstTurnDigest(c)
 	}
 	return url.PathEscape(account) + "/" + name, nil
 }
 
-func firstTurn(c endpoint.ChatRequest) string {
+// firstTurnDigest returns a digest of the model and the messages up to the first one of
+// the user.
+func firstTurnDigest(c endpoint.ChatRequest) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.Model)
 	for _, m := range c.Messages {
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -17,44 +17,45 @@
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
 
-// endMargin is how much longer than its run the first copy of a request waits.
+// endMargin is how long the first copy of a request waits after the deadline of
+// its run.
 const endMargin = 500 * time.Millisecond
 
-// work is an admitted request on its way to an endpoint.
+// work is a validated request that is ready for dispatch.
 type work struct {
 	view    *kernel.View
 	account manifest.Account
 	request route.Request
 	call    endpoint.Call
-	// seated gives back the place of a request that waits for an endpoint.
-	seated func()
-	// answer passes the endpoint's answer on. It returns an error unless the
-	// answer came whole.
+	// stopWaiting frees the slot of a request that waits for an endpoint.
+	stopWaiting func()
+	// answer forwards the endpoint's answer. It returns an error if the answer is
+	// incomplete.
 	answer func(w http.ResponseWriter, run *dispatch.Run) error
 }
 
-// firstWrite tells whether an answer has begun.
-type firstWrite struct {
+// startedWriter records whether an answer has started.
+type startedWriter struct {
 	http.ResponseWriter
 	started bool
 }
 
-// WriteHeader writes the head of the answer.
-func (w *firstWrite) WriteHeader(status int) {
+// WriteHeader writes the status and header of the answer.
+func (w *startedWriter) WriteHeader(status int) {
 	w.started = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write writes a piece of the answer.
-func (w *firstWrite) Write(data []byte) (int, error) {
+func (w *startedWriter) Write(data []byte) (int, error) {
 	w.started = true
 	return w.ResponseWriter.Write(data)
 }
 
-// Unwrap returns the writer below, for http.ResponseController.
-func (w *firstWrite) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *startedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// run carries a request out: at once, or by its ticket where it must not be
+// run executes a request: directly, or with its ticket if it must not be
 // repeated.
 func (h *Handler) run(w http.ResponseWriter, r *http.Request, k work) {
 	k.request.Print = poison.Print(k.account.Name, []byte(k.call.Method), []byte(k.call.Path), k.call.Body)
@@ -63,58 +64,60 @@
 		h.runOnce(w, r, k)
 		return
 	}
-	if _, err := h.carry(r.Context(), w, k); err != nil {
-		endEarly(newEvents(w, h.config.WriteTimeout), h.ended(err))
+	if _, err := h.execute(r.Context(), w, k); err != nil {
+		abort(newEventWriter(w, h.config.WriteTimeout), h.incompleteProblem(err))
 	}
 }
 
-// carry dispatches a request and passes its answer on. It returns what became
-// of the request, and an error where the answer that w got was cut.
-func (h *Handler) carry(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
+// execute dispatches a request and forwards its answer. It returns the outcome of
+// the request, and an error if the answer written to w is truncated.
+func (h *Handler) execute(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
 	ctx, cancel := context.WithDeadline(ctx, k.request.Deadline)
 	defer cancel()
-	out := &firstWrite{ResponseWriter: w}
+	out := &startedWriter{ResponseWriter: w}
 	run, err := h.config.Dispatcher.Do(ctx, k.request, k.call)
 	var last error
 	for err == nil {
-		k.seated()
-		cut := k.answer(out, run)
-		if cut == nil {
+		k.stopWaiting()
+		answerErr := k.answer(out, run)
+		if answerErr == nil {
 			return once.Done, run.Close()
 		}
-		h.logBroken(cut, k.request, run)
-		if out.started || !errors.Is(cut, endpoint.ErrCut) {
-			return once.Unknown, h.giveUp(ctx, out, k, run, cut)
+		h.logIncomplete(answerErr, k.request, run)
+		if out.started || !errors.Is(answerErr, endpoint.ErrCut) {
+			return once.Unknown, h.abandon(ctx, out, k, run, answerErr)
 		}
-		// The caller has seen nothing of the cut answer, so that another
-		// endpoint may still give a whole one.
-		last = cut
-		run, err = run.Retry(ctx, cut)
+		// Nothing of the truncated answer was sent to the caller, so another
+		// endpoint can still provide a complete one.
+		last = answerErr
+		run, err = run.Retry(ctx, answerErr)
 	}
 	if last != nil {
-		h.broken(last, k.request.Deadline).write(w)
+		h.answerProblem(last, k.request.Deadline).write(w)
 		return once.Unknown, nil
 	}
-	return h.refuse(w, k, err), nil
+	return h.writeRefusal(w, k, err), nil
 }
 
-// giveUp ends a run whose answer was cut beyond repair. It returns an error
-// where the answer had begun.
-func (h *Handler) giveUp(ctx context.Context, out *firstWrite, k work, run *dispatch.Run, cut error) error {
-	if errors.Is(cut, endpoint.ErrCut) {
-		run.Fail(ctx, cut)
+// abandon ends a run whose answer is incomplete and cannot be retried. It returns
+// an error if the answer has started, else it writes the problem.
+func (h *Handler) abandon(ctx context.Context, out *startedWriter, k work, run *dispatch.Run, cause error) error {
+	if errors.Is(cause, endpoint.ErrCut) {
+		run.Fail(ctx, cause)
 	}
 	_ = run.Close()
-	p := h.broken(cut, k.request.Deadline)
+	p := h.answerProblem(cause, k.request.Deadline)
 	if out.started {
-		return &early{problem: p.under(k.request), cause: cut}
+		return &truncatedError{problem: p.forCopies(k.request), cause: cause}
 	}
 	p.write(out)
 	return nil
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, k work, err error) once.State {
-	p := refused(err)
+// writeRefusal writes the refusal of a request, with a new ticket if the request
+// needs one and did not run.
+func (h *Handler) writeRefusal(w http.ResponseWriter, k work, err error) once.State {
+	p := dispatchProblem(err)
 	if k.request.Once && p.ran == RanNot {
 		h.addTicket(w, k.account.Name)
 	}
@@ -125,9 +128,9 @@
 	return once.Unknown
 }
 
-// runOnce redeems the request's ticket. The first copy of the request runs
-// apart from its caller's connection, until its deadline; every copy is
-// answered from that one run.
+// runOnce redeems the request's ticket. The first copy of the request starts a
+// run that is independent of its caller's connection and ends at its deadline.
+// All copies are answered from that run.
 func (h *Handler) runOnce(w http.ResponseWriter, r *http.Request, k work) {
 	text := r.Header.Get(HeaderTicket)
 	if text == "" {
@@ -137,85 +140,86 @@
 	}
 	t, err := ticket.Parse(text)
 	if err != nil {
-		ticketProblem(err).write(sure(w))
+		ticketProblem(err).write(checked(w))
 		return
 	}
 	if t.Node != k.view.Self.Name {
 		ctx, cancel := context.WithDeadline(r.Context(), k.request.Deadline)
 		defer cancel()
 		if p := h.relay(w, r.WithContext(ctx), k.view, t, k.call.Body); p != nil {
-			p.write(sure(w))
+			p.write(checked(w))
 		}
 		return
 	}
-	record, first, err := h.config.Tickets.Redeem(t, k.account.Name, printOf(r, k.call.Body))
+	record, first, err := h.config.Tickets.Redeem(t, k.account.Name, requestDigest(r, k.call.Body))
 	if err != nil {
 		if errors.Is(err, once.ErrVoid) {
 			h.addTicket(w, k.account.Name)
 		}
-		ticketProblem(err).write(sure(w))
+		ticketProblem(err).write(checked(w))
 		return
 	}
-	h.join(w, r, k, record, first)
+	h.serveRecord(w, r, k, record, first)
 }
 
-func (h *Handler) join(w http.ResponseWriter, r *http.Request, k work, record *once.Record, first bool) {
+// serveRecord answers a copy of a request from its record. The first copy starts the run.
+func (h *Handler) serveRecord(w http.ResponseWriter, r *http.Request, k work, record *once.Record, first bool) {
 	reader, err := record.Join()
 	if err != nil {
-		ticketProblem(err).write(sure(w))
+		ticketProblem(err).write(checked(w))
 		return
 	}
 	if first {
 		ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), k.request.Deadline)
-		k.seated()
+		k.stopWaiting()
 		record.Run(ctx, func(ctx context.Context, w http.ResponseWriter) (once.State, error) {
 			defer cancel()
-			return h.carryApart(ctx, w, k)
+			return h.executeDetached(ctx, w, k)
 		})
 	}
 	deadline := k.request.Deadline
 	if first {
-		// Its run has the same deadline, and says how it ended.
+		// The run has the same deadline and reports its outcome shortly after.
 		deadline = deadline.Add(endMargin)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	out := h.newPassing(w)
+	out := h.newTicketWriter(w)
 	defer out.release()
 	if _, err = reader.Copy(ctx, out); err == nil {
 		err = out.finish()
 	}
 	switch {
 	case err == nil:
-	case out.begun:
-		endEarly(out.events, h.ended(err))
+	case out.started:
+		abort(out.events, h.incompleteProblem(err))
 	default:
-		h.ended(err).write(w)
+		h.incompleteProblem(err).write(w)
 	}
 }
 
-// carryApart carries a request out that is not bound to its caller's
-// connection. It takes places of its own: a caller that sends and hangs up must
-// not fill the node beyond its bounds.
-func (h *Handler) carryApart(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
+// executeDetached executes a request independently of its caller's connection. It
+// takes its own slots and memory: a caller that sends requests and disconnects
+// must not load the node beyond its limits.
+func (h *Handler) executeDetached(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
 	leave, ok := h.slots.enter()
 	if !ok {
 		busy(http.StatusServiceUnavailable, "the node serves too many requests").write(w)
 		return once.Void, nil
 	}
 	defer leave()
-	done, p := h.slots.wait(k.account.Name)
+	done, p := h.slots.startWaiting(k.account.Name)
 	if p != nil {
 		p.write(w)
 		return once.Void, nil
 	}
 	defer done()
-	held, ok := h.slots.hold(int64(len(k.call.Body)))
+	held, ok := h.slots.reserve(int64(len(k.call.Body)))
 	if !ok {
-		fullOfBodies().write(w)
+		bodyMemoryFull().write(w)
 		return once.Void, nil
 	}
 	defer held.release()
-	k.seated = done
-	return h.carry(ctx, w, k)
+	k.stopWaiting = done
+	return h.execute(ctx, w, k)
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller serves the fleet's callers: chat completions, plain services
-// and the entry answer that says which nodes to use.
+// Package caller serves the fleet's callers: chat completions, plain services and
+// the list of nodes that a caller should use.
 package caller
 
 import (
@@ -46,51 +46,49 @@
 	DefaultMaxAccount     = 512
 	DefaultMaxConnections = 16384
 
-	readHeaderLimit = 10 * time.Second
-	idleTimeout     = 2 * time.Minute
-	maxHeaderBytes  = 64 << 10
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
 )
 
 type (
-	// Dispatcher carries requests to endpoints.
+	// Dispatcher sends requests to endpoints.
 	Dispatcher interface {
 		Do(ctx context.Context, req route.Request, call endpoint.Call) (*dispatch.Run, error)
 	}
 
-	// Config is the settings of a Handler; zero values are defaults.
+	// Config is the settings of a Handler. Zero values select the defaults.
 	Config struct {
 		View       func() *kernel.View
 		Dispatcher Dispatcher
 		Log        logrus.FieldLogger
-		// Tickets mints and redeems tickets, and Relays reaches the nodes that
-		// minted others.
+		// Tickets mints and redeems the tickets of this node. Relays forwards
+		// requests with tickets of other nodes.
 		Tickets *once.Registry
 		Relays  Relayer
-		// Timeout is the deadline of a request that names none.
+		// Timeout is the time limit of a request that sets none.
 		Timeout time.Duration
-		// MaxTimeout is the longest deadline a request can name.
+		// MaxTimeout is the longest time limit that a request can set.
 		MaxTimeout time.Duration
-		// ReadTimeout is how long a caller may take to send a body.
+		// ReadTimeout limits the time to receive a request body.
 		ReadTimeout time.Duration
-		// WriteTimeout is how long a caller may take to read a piece of the
+		// WriteTimeout limits the time that a caller takes to read a piece of the
 		// answer.
 		WriteTimeout time.Duration
-		// MaxBody is the size of the largest request body, in bytes.
+		// MaxBody is the maximum size of a request body, in bytes.
 		MaxBody int64
-		// MaxHeld is the size of all request bodies and answers that are not
-		// streamed which the node holds at once, in bytes.
+		// MaxHeld is the maximum total size of the request bodies and unstreamed
+		// answers in the node's memory, in bytes.
 		MaxHeld int64
-		// MaxAnswer is the size of the largest answer that is not streamed, in
-		// bytes.
+		// MaxAnswer is the maximum size of an unstreamed answer, in bytes.
 		MaxAnswer int64
-		// Active counts the requests in progress; nil is a counter of the
-		// handler's own.
+		// Active counts the requests in progress. Default: a new counter.
 		Active *atomic.Int64
-		// MaxActive is how many requests the node serves at once.
+		// MaxActive is the maximum number of requests in progress.
 		MaxActive int
-		// MaxWaiting is how many requests wait for an endpoint at once.
+		// MaxWaiting is the maximum number of requests waiting for an endpoint.
 		MaxWaiting int
-		// MaxAccount is how many of them one client account may have.
+		// MaxAccount is the maximum number of waiting requests per client account.
 		MaxAccount int
 	}
 
@@ -99,9 +97,9 @@
 		config Config
 		mux    *http.ServeMux
 		slots  *slots
-		// refusing is set once the node takes no more requests.
+		// refusing is set once new requests are refused.
 		refusing atomic.Bool
-		// ending ends once the node gives up the requests in progress.
+		// ending is canceled to abort the requests in progress.
 		ending context.Context
 		end    context.CancelFunc
 	}
@@ -128,47 +126,47 @@
 
 // ServeHTTP serves one request of a caller.
 //
-// A caller that keeps its connection to a leaving node would find it closed
-// under its next request, and could not tell whether that was run. While the
-// node is leaving, each answer therefore ends its connection.
+// While the node is leaving, every answer closes its connection. Otherwise a
+// caller might find the connection closed during its next request, without
+// knowing whether that request ran.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h.refusing.Load() || h.config.View().Leaving {
 		w.Header().Set("Connection", "close")
 	}
 	if r.Header.Get(HeaderTicket) != "" {
-		w = &unsure{ResponseWriter: w}
+		w = &uncheckedWriter{ResponseWriter: w}
 	}
 	h.mux.ServeHTTP(w, r)
 }
 
-// Refuse makes every further request end as not run.
+// Refuse refuses all further requests as not run.
 func (h *Handler) Refuse() { h.refusing.Store(true) }
 
-// End gives up all requests in progress: answers that have begun end with an event that
-// says so.
+// End aborts all requests in progress. Streams that have started end with an error event.
 func (h *Handler) End() { h.end() }
 
 // Wait waits until no request is in progress or ctx ends.
 func (h *Handler) Wait(ctx context.Context) error { return h.slots.drain(ctx) }
 
-// NewServer returns an HTTP server for the handler with limits on slow and
-// oversized requests.
+// NewServer returns an HTTP server for the handler with limits for slow
+// connections and the size of headers.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: readHeaderLimit,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
-// Limit returns a listener that closes connections above a number of open ones
-// at once, before any request is read from them.
+// Limit returns a listener that allows the given number of open connections.
+// Further ones are closed at once, before a request is read from them.
 func Limit(l net.Listener, connections int) net.Listener {
-	return &limited{Listener: l, max: int64(connections)}
+	return &limitListener{Listener: l, max: int64(connections)}
 }
 
-// guard bounds the requests in progress and the time that callers take.
+// guard limits the number of requests in progress and the time to write an
+// answer. It refuses requests while the node stops.
 func (h *Handler) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leave, ok := h.slots.enter()
@@ -181,8 +179,8 @@
 			stopping().write(w)
 			return
 		}
-		// The deadline of an earlier request on the connection must not end
-		// this one.
+		// Replace the write deadline of the previous request on the connection,
+		// which must not end this one.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.config.MaxTimeout + h.config.WriteTimeout))
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -19,6 +19,8 @@
 
 const chatBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
 
+// Guards against malformed requests that are dispatched, or refused without saying that they
+// did not run.
 func TestMalformedRequestsAreRefusedAndNotDispatched(t *testing.T) {
 	e := &endpoints{answer: func(context.Context, endpoint.Call) (*endpoint.Answer, error) {
 		return nil, endpoint.ErrNotRun
@@ -71,12 +73,12 @@
 	require.Zero(t, e.calls.Load())
 }
 
-// Guards against this failure: a caller takes half an answer for a whole one.
-func TestCutAnswersAreToldFromWholeOnes(t *testing.T) {
+// Guards against a caller who takes a truncated answer for a complete one.
+func TestTruncatedAnswersAreDetectable(t *testing.T) {
 	plain := func(status int, body io.Reader, framed bool) *endpoint.Answer {
 		return &endpoint.Answer{Status: status, Header: http.Header{}, Body: newBody(body), Framed: framed}
 	}
-	broken := io.MultiReader(strings.NewReader("half"), iotestError{})
+	broken := io.MultiReader(strings.NewReader("half"), errorReader{})
 	tests := []struct {
 		name   string
 		path   string
@@ -88,7 +90,7 @@
 		{"stream cut in the mark", entry.PathChat, true, func(a string) *endpoint.Answer { return streamed(events(a, "data: [DON")) }, `"type":"cut"`},
 		{"stream cut in a line", entry.PathChat, true, func(a string) *endpoint.Answer { return streamed(events(a, `data: {"id":"`+a+`"}`)) }, `"type":"cut"`},
 		{"not streamed, cut", entry.PathChat, false, func(a string) *endpoint.Answer {
-			return plain(200, io.MultiReader(strings.NewReader(`{"id":"`+a), iotestError{}), true)
+			return plain(200, io.MultiReader(strings.NewReader(`{"id":"`+a), errorReader{}), true)
 		}, `"type":"cut"`},
 		{"plain, cut", "/v1/services/prices/x", false, func(string) *endpoint.Answer { return plain(200, broken, true) }, `"type":"cut"`},
 		{"plain, end not marked", "/v1/services/prices/x", false, func(string) *endpoint.Answer {
@@ -118,8 +120,8 @@
 	}
 }
 
-// Guards against this failure: a caller reads words of another caller's answer.
-func TestCrossedAnswersAreDropped(t *testing.T) {
+// Guards against a caller who receives parts of another caller's answer.
+func TestDataOfOtherAttemptsIsDropped(t *testing.T) {
 	e := &endpoints{answer: func(_ context.Context, call endpoint.Call) (*endpoint.Answer, error) {
 		crossed := `data: {"id":"` + call.Attempt + `0","choices":[{"delta":{"content":"theirs"}}]}` + "\n\n"
 		own := `data: {"choices":[{"delta":{"content":"ours"}}], "id":"` + call.Attempt + `"}` + "\n\n"
@@ -140,7 +142,8 @@
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
-func TestHangingUpReachesTheEndpoint(t *testing.T) {
+// Guards against an endpoint that keeps working for a caller who has disconnected.
+func TestDisconnectCancelsEndpointCall(t *testing.T) {
 	gone := make(chan struct{})
 	entered := make(chan struct{})
 	e := &endpoints{answer: func(ctx context.Context, _ endpoint.Call) (*endpoint.Answer, error) {
@@ -150,7 +153,7 @@
 		return nil, endpoint.ErrLost
 	}}
 	s, _ := serve(t, e, caller.Config{})
-	ctx, hangUp := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
 		resp, err := http.DefaultClient.Do(request(t, "POST", s.URL+entry.PathChat, chatBody).WithContext(ctx))
 		if err == nil {
@@ -158,10 +161,11 @@
 		}
 	}()
 	<-entered
-	hangUp()
+	disconnect()
 	<-gone
 }
 
+// Guards against header values of the caller that do not reach the endpoint.
 func TestDeadlineAndPriorityReachTheEndpoint(t *testing.T) {
 	calls := make(chan endpoint.Call, 1)
 	e := &endpoints{answer: func(ctx context.Context, call endpoint.Call) (*endpoint.Answer, error) {
@@ -188,6 +192,8 @@
 	require.False(t, got.Deadline.IsZero())
 }
 
+// Guards against two client accounts that share a cached chat, by the same chat name or the
+// same first turn.
 func TestAccountsNeverShareChats(t *testing.T) {
 	var chats []string
 	e := &endpoints{answer: func(_ context.Context, call endpoint.Call) (*endpoint.Answer, error) {
@@ -208,7 +214,8 @@
 	require.NotEqual(t, chats[2], chats[3])
 }
 
-func TestRefusingEndsConnections(t *testing.T) {
+// Guards against callers who keep connections to a node that is stopping.
+func TestRefusalClosesConnection(t *testing.T) {
 	e := &endpoints{}
 	s, h := serve(t, e, caller.Config{})
 	h.Refuse()
@@ -220,13 +227,12 @@
 	require.True(t, resp.Close)
 }
 
-// Guards against this failure: a stream goes on although its caller's time is over, or ends
-// without a word.
+// Guards against a stream that continues after its deadline, or ends without an error event.
 func TestDeadlineEndsStreams(t *testing.T) {
 	freed := make(chan struct{})
 	e := &endpoints{answer: func(ctx context.Context, call endpoint.Call) (*endpoint.Answer, error) {
 		a := streamed("")
-		a.Body = &body{Reader: io.MultiReader(strings.NewReader(events(call.Attempt)), stalled{ctx}), closed: freed}
+		a.Body = &body{Reader: io.MultiReader(strings.NewReader(events(call.Attempt)), stalledReader{ctx}), closed: freed}
 		return a, nil
 	}}
 	s, _ := serve(t, e, caller.Config{})
--- a/internal/caller/slots.go
+++ b/internal/caller/slots.go
@@ -7,7 +7,8 @@
 	"sync/atomic"
 )
 
-// slots bounds the requests of a node. It is safe for concurrent use.
+// slots limits the requests of a node and the memory for their bodies and
+// answers. It is safe for concurrent use.
 type slots struct {
 	mu         sync.Mutex
 	maxActive  int
@@ -15,14 +16,14 @@
 	maxAccount int
 	active     *atomic.Int64
 	waiting    int
-	// accounts is how many requests of each client account wait; an account
-	// without any has no entry.
+	// accounts is the number of waiting requests by client account. Accounts
+	// without waiting requests have no entry.
 	accounts map[string]int
-	// held is the bytes of request bodies and answers that are not streamed,
-	// maxHeld their bound.
+	// held is the reserved memory for request bodies and unstreamed answers, in
+	// bytes, and maxHeld its limit.
 	held    int64
 	maxHeld int64
-	// idle is closed and replaced whenever no request is left.
+	// idle is closed and replaced whenever the last request in progress ends.
 	idle chan struct{}
 }
 
@@ -38,7 +39,7 @@
 	}
 }
 
-// enter takes the place of a request in progress.
+// enter takes the slot of a request in progress; leave frees it.
 func (s *slots) enter() (leave func(), ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,9 +59,9 @@
 	}
 }
 
-// wait takes the place of a request that waits for an endpoint. The returned
-// function gives it back; it may be called more than once.
-func (s *slots) wait(account string) (done func(), p *problem) {
+// startWaiting takes the slot of a request that waits for an endpoint; done frees
+// it and may be called more than once.
+func (s *slots) startWaiting(account string) (done func(), p *problem) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.accounts[account] >= s.maxAccount {
@@ -71,10 +72,10 @@
 	}
 	s.waiting++
 	s.accounts[account]++
-	return sync.OnceFunc(func() { s.done(account) }), nil
+	return sync.OnceFunc(func() { s.stopWaiting(account) }), nil
 }
 
-func (s *slots) done(account string) {
+func (s *slots) stopWaiting(account string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting--
--- a/internal/caller/spread_test.go
+++ b/internal/caller/spread_test.go
@@ -20,21 +20,21 @@
 	spreadSeeds = 10
 	spreadTime  = 10 * time.Minute
 	spreadStep  = 100 * time.Millisecond
-	// spreadLag is the age of the loads that an entry answer knows.
+	// spreadLag is the age, in steps, of the loads that entry answers are based on.
 	spreadLag = 10
 )
 
-// spreader is a way to choose the first node of an entry answer.
-type spreader func(v *kernel.View, chat string) string
+// picker chooses the first node of an entry answer.
+type picker func(v *kernel.View, chat string) string
 
-// BenchmarkSpread measures, in virtual time, how evenly ways to order the entry
-// answer spread callers who keep an answer for 30 to 40 s, and how often a chat
-// changes its node. All callers ask first within two seconds, as after an
-// outage.
+// BenchmarkSpread compares ways to order the entry answer, in virtual time. It
+// measures how evenly they distribute callers who keep an answer for 30 to 40 s,
+// and how often a chat changes its node. All callers send their first request
+// within two seconds, as after an outage.
 func BenchmarkSpread(b *testing.B) {
-	ways := []struct {
+	strategies := []struct {
 		name string
-		pick spreader
+		pick picker
 	}{
 		{"weighted", func(v *kernel.View, chat string) string { return caller.Nodes(v, "", chat)[0].Name }},
 		{"rendezvous", func(v *kernel.View, chat string) string { return kernel.Rendezvous(chat, v.Nodes)[0].Name }},
@@ -42,12 +42,12 @@
 			return slices.MinFunc(v.Nodes, func(a, b kernel.Node) int { return cmp.Compare(a.Active, b.Active) }).Name
 		}},
 	}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
+	for _, strategy := range strategies {
+		b.Run(strategy.name, func(b *testing.B) {
 			for b.Loop() {
 				var mean, worst, moves float64
 				for seed := range spreadSeeds {
-					m, w, moved := spreadRun(way.pick, seed)
+					m, w, moved := spreadRun(strategy.pick, seed)
 					mean += m / spreadSeeds
 					worst = max(worst, w)
 					moves += moved / spreadSeeds
@@ -60,9 +60,10 @@
 	}
 }
 
-// spreadRun returns the mean and the highest ratio of the most loaded node to
-// the mean after the first minute, and the share of renewals that moved a chat.
-func spreadRun(pick spreader, seed int) (mean, worst, moves float64) {
+// spreadRun returns the mean and the maximum over time, after the first minute,
+// of the ratio between the highest load and the mean load of the nodes, and the
+// share of renewals that moved a chat to another node.
+func spreadRun(pick picker, seed int) (mean, worst, moves float64) {
 	random := rand.New(rand.NewPCG(1, uint64(seed)))
 	v := fleet(8)
 	at := make([]string, spreadCallers)
--- a/internal/caller/ticket.go
+++ b/internal/caller/ticket.go
@@ -18,49 +18,51 @@
 )
 
 const (
-	// EntryTickets is how many tickets an entry answer carries.
+	// EntryTickets is the number of tickets in an entry answer.
 	EntryTickets = 4
 
-	// askTimeout bounds a question about a ticket to the node that minted it.
-	askTimeout = 2 * time.Second
+	// queryTimeout bounds a query of a ticket's state at the node that minted it.
+	queryTimeout = 2 * time.Second
 
-	extensionStart = "X-"
+	extensionPrefix = "X-"
 )
 
 type (
-	// Relayer passes requests to the node that minted their ticket.
+	// Relayer forwards requests to the node that minted their ticket.
 	Relayer interface {
 		Relay(ctx context.Context, to netip.AddrPort, r peer.Relayed, w http.ResponseWriter) (started bool, err error)
 	}
 
-	// TicketState is the answer to a caller that asks about a ticket.
+	// TicketState is the answer to a query of a ticket's state.
 	TicketState struct {
 		Ticket string     `json:"ticket"`
 		State  once.State `json:"state"`
 	}
 
+	// relayedKey marks the context of a request that another node forwarded.
 	relayedKey struct{}
 
-	// unsure is the writer of a request that came with a ticket. Until the
-	// ticket was looked at, the node cannot say that the request was not run:
-	// an earlier copy may have been.
-	unsure struct{ http.ResponseWriter }
+	// uncheckedWriter is the writer of a request whose ticket is not checked yet.
+	// Until then the node cannot report that the request did not run, since an
+	// earlier copy may have.
+	uncheckedWriter struct{ http.ResponseWriter }
 )
 
-// Unwrap returns the writer below, for http.ResponseController.
-func (w *unsure) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *uncheckedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// sure returns the writer for what was found out from the ticket.
-func sure(w http.ResponseWriter) http.ResponseWriter {
-	if u, ok := w.(*unsure); ok {
+// checked returns the writer for answers that are based on the checked ticket.
+func checked(w http.ResponseWriter) http.ResponseWriter {
+	if u, ok := w.(*uncheckedWriter); ok {
 		return u.ResponseWriter
 	}
 	return w
 }
 
-// unless returns the problem as it may be told to a writer.
-func (p *problem) unless(w http.ResponseWriter) *problem {
-	if _, ok := w.(*unsure); !ok || p.ran != RanNot {
+// forWriter adapts the problem to a writer: before the ticket is checked, it is
+// unknown whether the request ran.
+func (p *problem) forWriter(w http.ResponseWriter) *problem {
+	if _, ok := w.(*uncheckedWriter); !ok || p.ran != RanNot {
 		return p
 	}
 	unknown := *p
@@ -68,8 +70,8 @@
 	return &unknown
 }
 
-// Relay serves a request that came to another node of the fleet. The caller's
-// own key comes with it and is checked here again.
+// Relay serves a request that was forwarded by another node of the fleet. It
+// includes the caller's key, which is checked here again.
 func (h *Handler) Relay(ctx context.Context, r peer.Relayed, w http.ResponseWriter) {
 	ctx = context.WithValue(ctx, relayedKey{}, true)
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URI, strings.NewReader(string(r.Body)))
@@ -81,14 +83,15 @@
 	h.ServeHTTP(w, req)
 }
 
-// showTicket tells what is known of a ticket, and voidTicket gives an unused
-// one up, which proves that its request was not run.
+// showTicket responds with the state of a ticket.
 func (h *Handler) showTicket(w http.ResponseWriter, r *http.Request) {
 	h.withTicket(w, r, func(t ticket.Ticket, account string) {
 		writeState(w, http.StatusOK, t, h.config.Tickets.State(t, account))
 	})
 }
 
+// voidTicket voids an unused ticket, which proves that its request was not run
+// and never will be.
 func (h *Handler) voidTicket(w http.ResponseWriter, r *http.Request) {
 	h.withTicket(w, r, func(t ticket.Ticket, account string) {
 		err := h.config.Tickets.Void(t, account)
@@ -104,8 +107,10 @@
 	})
 }
 
+// withTicket calls do with the ticket in the path, or forwards the request to the
+// ticket's node.
 func (h *Handler) withTicket(w http.ResponseWriter, r *http.Request, do func(t ticket.Ticket, account string)) {
-	v, a, p := h.admit(r)
+	v, a, p := h.authenticate(r)
 	if p != nil {
 		p.write(w)
 		return
@@ -119,22 +124,22 @@
 		do(t, a.Name)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), askTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
 	if p := h.relay(w, r.WithContext(ctx), v, t, nil); p != nil {
 		writeState(w, http.StatusOK, t, once.Unknown)
 	}
 }
 
-// relay passes a request to the node that minted its ticket. It returns what is
-// known where w got no answer. Only that node may run the request: this one must
-// not, whatever it believes of the other.
+// relay forwards a request to the node that minted its ticket. It returns a
+// problem if nothing was written to w. Only that node may run the request; this
+// one must not, even if it considers the other dead.
 func (h *Handler) relay(w http.ResponseWriter, r *http.Request, v *kernel.View, t ticket.Ticket, body []byte) *problem {
 	to, ok := v.Node(t.Node)
 	if !ok || r.Context().Value(relayedKey{}) != nil {
 		return ticketProblem(once.ErrUnknown)
 	}
-	out := h.newPassing(w)
+	out := h.newTicketWriter(w)
 	defer out.release()
 	_, err := h.config.Relays.Relay(r.Context(), to.Peer, peer.Relayed{
 		Method: r.Method, URI: r.URL.RequestURI(), Header: relayedHeader(r.Header), Body: body,
@@ -145,21 +150,21 @@
 	switch {
 	case err == nil:
 		return nil
-	case out.told:
-		// The other node has told the caller.
+	case out.errorSent:
+		// The other node has sent an error event.
 		panic(http.ErrAbortHandler)
-	case out.begun:
-		endEarly(out.events, h.ended(err))
+	case out.started:
+		abort(out.events, h.incompleteProblem(err))
 	case errors.Is(err, endpoint.ErrFull), r.Context().Err() != nil:
-		return h.ended(err)
+		return h.incompleteProblem(err)
 	}
 	return ticketProblem(once.ErrUnknown)
 }
 
-// freshTickets returns tickets for the caller's account; none where the caller
-// shows no key.
-func (h *Handler) freshTickets(r *http.Request, n int) []string {
-	_, a, p := h.admit(r)
+// mintTickets mints tickets for the caller's account, or none without a valid
+// key.
+func (h *Handler) mintTickets(r *http.Request, n int) []string {
+	_, a, p := h.authenticate(r)
 	if p != nil || h.config.Tickets == nil {
 		return nil
 	}
@@ -174,7 +179,7 @@
 	return list
 }
 
-// addTicket offers a fresh ticket with a refusal.
+// addTicket adds a new ticket to the header of a refusal.
 func (h *Handler) addTicket(w http.ResponseWriter, account string) {
 	if t, err := h.config.Tickets.Mint(account); err == nil {
 		w.Header().Set(HeaderTicket, t.String())
@@ -188,9 +193,8 @@
 	}
 }
 
-// ticketProblem says what is known of the request of a ticket that cannot be
-// redeemed. A ticket that cannot be read or told is not proof that the request
-// was not run under it.
+// ticketProblem returns the problem for a ticket that cannot be redeemed. A ticket
+// that is malformed or unknown does not prove that its request did not run.
 func ticketProblem(err error) *problem {
 	text := err.Error()
 	switch {
@@ -209,9 +213,9 @@
 	}
 }
 
-// printOf identifies a request, so that a ticket's answer never goes to another
-// request of the same account.
-func printOf(r *http.Request, body []byte) once.Print {
+// requestDigest returns a digest of a request, so that a ticket's answer is never sent
+// to another request of the same account.
+func requestDigest(r *http.Request, body []byte) once.Print {
 	digest := sha256.New()
 	for _, part := range []string{r.Method, r.URL.RequestURI()} {
 		digest.Write([]byte(part))
@@ -221,11 +225,11 @@
 	return once.Print(digest.Sum(nil))
 }
 
-// relayedHeader returns the headers that the other node needs.
+// relayedHeader returns the headers that are forwarded to the other node.
 func relayedHeader(from http.Header) http.Header {
-	header := chosen(from)
+	header := forwardedHeaders(from)
 	for name, values := range from {
-		if name == "Authorization" || name == "Content-Type" || strings.HasPrefix(name, extensionStart) {
+		if name == "Authorization" || name == "Content-Type" || strings.HasPrefix(name, extensionPrefix) {
 			header[name] = values
 		}
 	}
--- a/internal/caller/early_test.go
+++ b/internal/caller/truncated_test.go
@@ -22,29 +22,29 @@
 
 const plainPath = "/v1/services/prices/x"
 
-// relays answers in place of the node of a ticket: a head, pieces, and an error.
-type relays struct {
+// fakeRelayer fakes the answer of a ticket's node: a header, pieces and an error.
+type fakeRelayer struct {
 	header http.Header
 	pieces []string
 	err    error
 }
 
-// until is a Reader that ends with a context.
-type until struct {
+// contextReader is a Reader that fails once its context has ended.
+type contextReader struct {
 	ctx context.Context
 	io.Reader
 }
 
-// Read reads unless the context has ended.
-func (u until) Read(data []byte) (int, error) {
+// Read returns the context's error if there is one.
+func (u contextReader) Read(data []byte) (int, error) {
 	if err := u.ctx.Err(); err != nil {
 		return 0, err
 	}
 	return u.Reader.Read(data)
 }
 
-// Relay passes the answer on.
-func (r *relays) Relay(_ context.Context, _ netip.AddrPort, _ peer.Relayed, w http.ResponseWriter) (bool, error) {
+// Relay writes the answer.
+func (r *fakeRelayer) Relay(_ context.Context, _ netip.AddrPort, _ peer.Relayed, w http.ResponseWriter) (bool, error) {
 	for name, values := range r.header {
 		w.Header()[name] = values
 	}
@@ -60,28 +60,28 @@
 	return true, r.err
 }
 
-// Guards against an answer from the node of a ticket that begins and ends early without a
-// word, and against one that is taken for whole.
-func TestAnswerOfAnotherNodeThatEndsEarly(t *testing.T) {
+// Guards against an answer of a ticket's node that is truncated without an error event, or
+// that the caller takes for a complete one, when the connection to that node breaks.
+func TestTruncatedAnswerOfTicketNode(t *testing.T) {
 	stream := http.Header{"Content-Type": {"text/event-stream"}}
 	plain := http.Header{"Content-Length": {"8"}, "Etag": {"theirs"}}
 	first, second := "data: {\"id\":\"a\"}\n\n", "data: {\"id\":\"b\"}\n\n"
-	told := `data: {"error":{"type":"cut","ran":"unknown"}}` + "\n\n"
+	errorEvent := `data: {"error":{"type":"cut","ran":"unknown"}}` + "\n\n"
 	tests := map[string]struct {
-		relays relays
+		relays fakeRelayer
 		broken bool
 		status int
 		events string
 		kind   string
 	}{
-		"stream lost":                 {relays{stream, []string{first}, peer.ErrRelay}, true, 200, first, "cut"},
-		"stream lost within an event": {relays{stream, []string{first, second[:9]}, peer.ErrRelay}, true, 200, first, "cut"},
-		"event in two pieces":         {relays{stream, []string{first[:9], first[9:] + second}, peer.ErrRelay}, true, 200, first + second, "cut"},
-		"time is up":                  {relays{stream, []string{first}, fmt.Errorf("%w: %w", peer.ErrRelay, context.DeadlineExceeded)}, true, 200, first, "deadline"},
-		"ended by the other node":     {relays{stream, []string{first, told}, peer.ErrRelay}, true, 200, first + told, ""},
-		"ended, then time is up":      {relays{stream, []string{first + told}, fmt.Errorf("%w: %w", peer.ErrRelay, context.DeadlineExceeded)}, true, 200, first + told, ""},
-		"plain answer lost":           {relays{plain, []string{"half"}, peer.ErrRelay}, false, 409, "", "ticket_unknown"},
-		"too large":                   {relays{plain, []string{strings.Repeat("x", 2<<10)}, nil}, false, 503, "", "busy"},
+		"stream lost":                 {fakeRelayer{stream, []string{first}, peer.ErrRelay}, true, 200, first, "cut"},
+		"stream lost within an event": {fakeRelayer{stream, []string{first, second[:9]}, peer.ErrRelay}, true, 200, first, "cut"},
+		"event in two pieces":         {fakeRelayer{stream, []string{first[:9], first[9:] + second}, peer.ErrRelay}, true, 200, first + second, "cut"},
+		"time is up":                  {fakeRelayer{stream, []string{first}, fmt.Errorf("%w: %w", peer.ErrRelay, context.DeadlineExceeded)}, true, 200, first, "deadline"},
+		"ended by the other node":     {fakeRelayer{stream, []string{first, errorEvent}, peer.ErrRelay}, true, 200, first + errorEvent, ""},
+		"ended, then time is up":      {fakeRelayer{stream, []string{first + errorEvent}, fmt.Errorf("%w: %w", peer.ErrRelay, context.DeadlineExceeded)}, true, 200, first + errorEvent, ""},
+		"plain answer lost":           {fakeRelayer{plain, []string{"half"}, peer.ErrRelay}, false, 409, "", "ticket_unknown"},
+		"too large":                   {fakeRelayer{plain, []string{strings.Repeat("x", 2<<10)}, nil}, false, 503, "", "busy"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			s, _ := serveView(t, &endpoints{}, v, caller.Config{Relays: &test.relays, MaxHeld: 1 << 10})
 			theirs := ticket.Ticket{Node: "n2", Incarnation: 1, Serial: 1}
 			resp, text, err := do(t, request(t, "POST", s.URL+plainPath, "{}", entry.HeaderOnce, "true", entry.HeaderTicket, theirs.String()))
-			require.Equal(t, test.broken, err != nil, "a begun answer breaks its connection: %v", err)
+			require.Equal(t, test.broken, err != nil, "an answer that has started must break its connection: %v", err)
 			require.Equal(t, test.status, resp.StatusCode)
 			require.Empty(t, resp.Header.Get("Etag"))
 			rest, begun := strings.CutPrefix(text, test.events)
@@ -106,12 +106,12 @@
 	}
 }
 
-// Guards against a caller under a ticket that stops reading and keeps its request's place on
+// Guards against a caller with a ticket that stops reading and occupies its request's slot on
 // the node.
-func TestSlowReaderUnderATicketIsCutOff(t *testing.T) {
+func TestSlowReaderWithTicketIsDisconnected(t *testing.T) {
 	e := &endpoints{answer: func(ctx context.Context, call endpoint.Call) (*endpoint.Answer, error) {
 		a := streamed("")
-		a.Body = newBody(until{ctx, endless(events(call.Attempt))})
+		a.Body = newBody(contextReader{ctx, endless(events(call.Attempt))})
 		return a, nil
 	}}
 	s, h := serve(t, e, caller.Config{WriteTimeout: 50 * time.Millisecond})
@@ -128,9 +128,9 @@
 	require.NoError(t, h.Wait(ctx))
 }
 
-// Guards against a run under a ticket that ends early and sends its callers back to a ticket
-// under which nothing runs any more.
-func TestRunThatEndsEarlySaysWhatToDo(t *testing.T) {
+// Guards against callers who retry in vain with the ticket of a run whose answer was
+// truncated: that ticket runs nothing again.
+func TestTruncatedRunIsNotRetriedWithTicket(t *testing.T) {
 	e := &endpoints{answer: func(_ context.Context, call endpoint.Call) (*endpoint.Answer, error) {
 		return streamed(events(call.Attempt)), nil
 	}}
--- a/internal/caller/whole.go
+++ b/internal/caller/whole.go
@@ -15,13 +15,14 @@
 )
 
 var (
-	// passedBack is the headers of an endpoint's answer that callers see.
-	passedBack = []string{
+	// answerHeaders is the headers of an endpoint's answer that are forwarded to
+	// callers.
+	answerHeaders = []string{
 		"Content-Type", "Content-Encoding", "Content-Language", "Cache-Control", "ETag", "Last-Modified", "Location",
 	}
 
-	errTooLong = errors.New("caller: the endpoint's answer is too long")
-	errCrossed = fmt.Errorf("%w: answer is of another attempt", endpoint.ErrCut)
+	errAnswerTooLarge = errors.New("caller: the endpoint's answer is too large")
+	errWrongAttempt   = fmt.Errorf("%w: answer belongs to another attempt", endpoint.ErrCut)
 )
 
 type (
@@ -45,19 +46,19 @@
 	}
 )
 
-// whole reads an answer to its marked end, within a limit.
-func whole(a *endpoint.Answer, limit int64) ([]byte, error) {
+// readWhole reads an answer of at most limit bytes up to its marked end.
+func readWhole(a *endpoint.Answer, limit int64) ([]byte, error) {
 	data, err := a.ReadAll(limit)
 	if errors.Is(err, endpoint.ErrLarge) {
-		return nil, errTooLong
+		return nil, errAnswerTooLarge
 	}
 	return data, err
 }
 
-// wholeChat reads a chat completion that is not streamed and checks that it
-// belongs to the attempt.
-func wholeChat(run *dispatch.Run, limit int64) ([]byte, error) {
-	data, err := whole(run.Answer, limit)
+// readChat reads an unstreamed chat completion and checks that it belongs to the
+// attempt.
+func readChat(run *dispatch.Run, limit int64) ([]byte, error) {
+	data, err := readWhole(run.Answer, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +69,13 @@
 		return nil, err
 	}
 	if head.ID != run.Attempt {
-		return nil, errCrossed
+		return nil, errWrongAttempt
 	}
 	return data, nil
 }
 
-// collect gathers a stream into one whole answer, for a caller that asked for
-// no stream and an endpoint that streams all the same.
+// collect merges a stream into one completion, for a caller that did not ask for
+// a stream when the endpoint sends one anyway.
 func collect(s *endpoint.Stream, limit int64, meter func(bytes int) error) ([]byte, error) {
 	answer := completion{Object: "chat.completion"}
 	var texts []*strings.Builder
@@ -88,7 +89,7 @@
 			return nil, err
 		}
 		if size += int64(len(data)); size > limit {
-			return nil, errTooLong
+			return nil, errAnswerTooLarge
 		}
 		if err := meter(len(data)); err != nil {
 			return nil, err
@@ -97,7 +98,7 @@
 		if err != nil {
 			return nil, err
 		}
-		texts = answer.add(c, texts)
+		texts = answer.addChunk(c, texts)
 	}
 	for i, text := range texts {
 		answer.Choices[i].Message.Content = text.String()
@@ -105,8 +106,8 @@
 	return json.Marshal(answer)
 }
 
-// add takes a chunk in.
-func (a *completion) add(c endpoint.Chunk, texts []*strings.Builder) []*strings.Builder {
+// addChunk merges a chunk of the stream.
+func (a *completion) addChunk(c endpoint.Chunk, texts []*strings.Builder) []*strings.Builder {
 	const maxChoices = 128
 	a.ID, a.Model = c.ID, c.Model
 	if c.Usage != nil {
@@ -128,10 +129,10 @@
 	return texts
 }
 
-// pass writes an endpoint's whole answer with its length, so that the caller
-// can tell a cut one.
-func (h *Handler) pass(w http.ResponseWriter, run *dispatch.Run, data []byte) error {
-	for _, name := range passedBack {
+// writeAnswer writes an endpoint's complete answer with its length, so that the caller
+// can detect truncation.
+func (h *Handler) writeAnswer(w http.ResponseWriter, run *dispatch.Run, data []byte) error {
+	for _, name := range answerHeaders {
 		if values := run.Answer.Header.Values(name); len(values) > 0 {
 			w.Header()[name] = values
 		}
@@ -148,18 +149,18 @@
 	return err
 }
 
-// broken returns the problem of an answer that could not be read whole.
-func (h *Handler) broken(err error, deadline time.Time) *problem {
+// answerProblem returns the problem for an answer that could not be forwarded completely.
+func (h *Handler) answerProblem(err error, deadline time.Time) *problem {
 	switch {
-	case errors.Is(err, errTooLong):
-		return tooLong(h.config.MaxAnswer)
+	case errors.Is(err, errAnswerTooLarge):
+		return answerTooLarge(h.config.MaxAnswer)
 	case errors.Is(err, endpoint.ErrFull):
-		return noRoom()
+		return answerMemoryFull()
 	case !time.Now().Before(deadline):
-		return late()
+		return deadlineExceeded()
 	case h.ending.Err() != nil:
-		return givenUp()
+		return aborted()
 	default:
-		return cut()
+		return truncated()
 	}
 }
