--- a/pkg/hint/hint.go
+++ b/pkg/hint/hint.go
@@ -1,5 +1,5 @@
-// Package hint holds the small token by which a caller carries, from one turn
-// of a chat to the next, where the chat's prefix is cached.
+// Package hint implements the token that tells where a chat's prefix is cached.
+// The caller sends it from one turn of the chat to the next.
 package hint
 
 import (
@@ -16,21 +16,21 @@
 	maxBytes = 256
 )
 
-// ErrFormat is returned where a hint cannot be read.
+// ErrFormat is returned for a malformed hint.
 var ErrFormat = errors.New("hint: bad format")
 
-// Hint is where a chat's prefix is cached. It is advice: a wrong one costs
-// time, never an answer.
+// Hint tells where a chat's prefix is cached. It is only advice: a wrong hint
+// costs time, but the request is still answered.
 type Hint struct {
-	// Endpoint holds the prefix.
+	// Endpoint is the name of the endpoint that has the prefix.
 	Endpoint string
-	// Tokens is how much of the chat it holds.
+	// Tokens is the length of the cached prefix, in tokens.
 	Tokens int
-	// At is when it did, to the second.
+	// At is the time at which the prefix was cached, to the second.
 	At time.Time
 }
 
-// String returns the form that callers carry.
+// String returns the text form of the hint.
 func (h Hint) String() string {
 	if h.Endpoint == "" {
 		return ""
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s:%d:%d:%s", version, h.Tokens, h.At.Unix(), h.Endpoint)
 }
 
-// Parse reads a hint. The empty string is the zero Hint.
+// Parse parses a hint. The empty string is the zero Hint.
 func Parse(s string) (Hint, error) {
 	if s == "" {
 		return Hint{}, nil
--- a/pkg/hint/hint_test.go
+++ b/pkg/hint/hint_test.go
@@ -12,12 +12,14 @@
 )
 
 func ExampleParse() {
-	carried := hint.Hint{Endpoint: "w1", Tokens: 512, At: time.Unix(60, 0)}.String()
-	read, err := hint.Parse(carried)
-	fmt.Println(read.Endpoint, read.Tokens, read.At.Unix(), err)
+	text := hint.Hint{Endpoint: "w1", Tokens: 512, At: time.Unix(60, 0)}.String()
+	parsed, err := hint.Parse(text)
+	fmt.Println(parsed.Endpoint, parsed.Tokens, parsed.At.Unix(), err)
 	// Output: w1 512 60 <nil>
 }
 
+// Guards against input that makes Parse panic, or a hint that changes when it is formatted
+// and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add(hint.Hint{Endpoint: "w1", Tokens: 512, At: time.Unix(60, 0)}.String())
 	f.Add("")
@@ -25,18 +27,18 @@
 	f.Add("h2:-1:99999999999999999999:")
 	f.Add(strings.Repeat(":", 300))
 	f.Fuzz(func(t *testing.T, s string) {
-		read, err := hint.Parse(s)
+		parsed, err := hint.Parse(s)
 		if err != nil {
 			require.ErrorIs(t, err, hint.ErrFormat)
 			return
 		}
-		require.GreaterOrEqual(t, read.Tokens, 0)
-		again, err := hint.Parse(read.String())
+		require.GreaterOrEqual(t, parsed.Tokens, 0)
+		again, err := hint.Parse(parsed.String())
 		require.NoError(t, err)
-		require.Equal(t, read.Endpoint, again.Endpoint)
-		require.Equal(t, read.Tokens, again.Tokens)
-		if read.Endpoint != "" {
-			require.True(t, read.At.Equal(again.At))
+		require.Equal(t, parsed.Endpoint, again.Endpoint)
+		require.Equal(t, parsed.Tokens, again.Tokens)
+		if parsed.Endpoint != "" {
+			require.True(t, parsed.At.Equal(again.At))
 		}
 	})
 }
--- a/pkg/ticket/ticket_test.go
+++ b/pkg/ticket/ticket_test.go
@@ -14,13 +14,15 @@
 func ExampleKey_Mint() {
 	key := ticket.NewKey()
 	minted, _ := key.Mint(ticket.Ticket{Node: "n1", Incarnation: 7, Serial: 1, Expires: time.Minute}, "a1")
-	carried := minted.String()
-	read, _ := ticket.Parse(carried)
-	fmt.Println(read.Node, read.Serial, key.Verify(read, "a1"), key.Verify(read, "a2"))
+	text := minted.String()
+	parsed, _ := ticket.Parse(text)
+	fmt.Println(parsed.Node, parsed.Serial, key.Verify(parsed, "a1"), key.Verify(parsed, "a2"))
 	// Output: n1 1 <nil> ticket: not minted here for this account
 }
 
-func TestVerifyRefusesEveryChange(t *testing.T) {
+// Guards against a modified ticket, or one of another account or process, that passes as
+// valid.
+func TestVerifyRejectsModifiedTickets(t *testing.T) {
 	key := ticket.NewKey()
 	content := ticket.Ticket{Node: "n1", Incarnation: 7, Serial: 3, Expires: time.Minute}
 	minted, err := key.Mint(content, "a1")
@@ -39,7 +41,8 @@
 	require.ErrorIs(t, ticket.NewKey().Verify(minted, "a1"), ticket.ErrForged, "the key of a restarted process")
 }
 
-func TestParseRefuses(t *testing.T) {
+// Guards against malformed or oversized tickets that are accepted.
+func TestParseRejectsMalformedTickets(t *testing.T) {
 	minted, err := ticket.NewKey().Mint(ticket.Ticket{Node: "n1"}, "a1")
 	require.NoError(t, err)
 	good := minted.String()
@@ -51,6 +54,8 @@
 	require.ErrorIs(t, err, ticket.ErrFormat)
 }
 
+// Guards against a ticket that has several text forms, and against input that passes as valid
+// without having been minted.
 func FuzzParse(f *testing.F) {
 	key := ticket.NewKey()
 	minted, err := key.Mint(ticket.Ticket{Node: "n1", Incarnation: 1, Serial: 2, Expires: time.Hour}, "a1")
@@ -61,14 +66,14 @@
 	f.Add("t1.AAAA")
 	f.Add("t1." + strings.Repeat("_", 300))
 	f.Fuzz(func(t *testing.T, s string) {
-		read, err := ticket.Parse(s)
+		parsed, err := ticket.Parse(s)
 		if err != nil {
 			require.ErrorIs(t, err, ticket.ErrFormat)
 			return
 		}
-		require.Equal(t, s, read.String(), "a ticket has one form only")
+		require.Equal(t, s, parsed.String(), "a ticket has one form only")
 		if s != minted.String() {
-			require.ErrorIs(t, key.Verify(read, "a1"), ticket.ErrForged)
+			require.ErrorIs(t, key.Verify(parsed, "a1"), ticket.ErrForged)
 		}
 	})
 }
