--- a/internal/deployment/announce.go
+++ b/internal/deployment/announce.go
@@ -9,48 +9,48 @@
 	"bulrushhinge.example/bulrushhinge/internal/decision"
 )
 
-// announcedFor is how long an endpoint's word that it leaves is kept after the
-// endpoint was last known.
-const announcedFor = 10 * time.Minute
+// leaveNoticeTTL is how long a leave notice is kept after its endpoint was last
+// known.
+const leaveNoticeTTL = 10 * time.Minute
 
 type (
-	// announcements are those that the owner goroutine has not taken yet, by who
-	// has told them.
-	announcements struct {
+	// leaveQueue holds leave notices for the owner goroutine, each with the source
+	// that reported it.
+	leaveQueue struct {
 		mu      sync.Mutex
 		sources map[Start]string
-		news    chan struct{}
+		wake    chan struct{}
 	}
 
-	// announced is an endpoint's word that it leaves.
-	announced struct {
-		// key is that of its start.
+	// leaveNotice records that an endpoint has announced its leave.
+	leaveNotice struct {
+		// key is the Key of the endpoint's Start.
 		key uint32
-		// at is when this node learnt of it, and seen when the endpoint was last
-		// known.
-		at, seen time.Time
+		// received is when this node learned of the leave, and lastKnown when the
+		// endpoint was last known.
+		received, lastKnown time.Time
 	}
 )
 
-func newAnnouncements() *announcements {
-	return &announcements{sources: map[Start]string{}, news: make(chan struct{}, 1)}
+func newLeaveQueue() *leaveQueue {
+	return &leaveQueue{sources: map[Start]string{}, wake: make(chan struct{}, 1)}
 }
 
-// put adds one and wakes the owner goroutine.
-func (a *announcements) put(start Start, source string) {
+// put queues a leave notice and wakes the owner goroutine.
+func (a *leaveQueue) put(start Start, source string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, ok := a.sources[start]; !ok {
 		a.sources[start] = source
 	}
 	select {
-	case a.news <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take returns all that wait.
-func (a *announcements) take() map[Start]string {
+// take empties the queue and returns its notices.
+func (a *leaveQueue) take() map[Start]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	taken := a.sources
@@ -58,41 +58,42 @@
 	return taken
 }
 
-// Leaving notes that an endpoint has said itself that it leaves. It never takes
-// requests again under this start, whatever the store says.
+// Leaving records that an endpoint has announced its own leave. It gets no new
+// requests under this start, whatever the store reports.
 func (s *State) Leaving(start Start, source string) {
-	if _, known := s.Snapshot().announced[start]; !known {
-		s.announcements.put(start, source)
+	if _, known := s.Snapshot().leaveNotices[start]; !known {
+		s.leaves.put(start, source)
 	}
 }
 
-// Announced returns the Keys of the endpoints that have said that they leave while
-// the store has them as ready, as far as this node learnt of it since a time.
+// Announced returns the Keys of the endpoints that have announced their leave while
+// the store still lists them as ready, as far as this node learned of it since a
+// time.
 func (s *State) Announced(since time.Time) (keys []uint32) {
-	for _, a := range s.Snapshot().untold {
-		if !a.at.Before(since) {
+	for _, a := range s.Snapshot().unstored {
+		if !a.received.Before(since) {
 			keys = append(keys, a.key)
 		}
 	}
 	return keys
 }
 
-// LeavingHeard takes the same from a peer. A Key that two endpoints have says
-// nothing.
+// LeavingHeard records the leaves that a peer reports. It ignores a Key that two
+// endpoints share.
 func (s *State) LeavingHeard(keys []uint32, source string) {
 	snap := s.Snapshot()
 	for _, key := range keys {
-		if slices.ContainsFunc(snap.untold, func(a announced) bool { return a.key == key }) {
+		if slices.ContainsFunc(snap.unstored, func(a leaveNotice) bool { return a.key == key }) {
 			continue
 		}
-		if list := snap.named(key); len(list) == 1 && !list[0].Draining {
+		if list := snap.byKey(key); len(list) == 1 && !list[0].Draining {
 			s.Leaving(list[0].Start(), source)
 		}
 	}
 }
 
-// named returns the endpoints with a Key.
-func (s *Snapshot) named(key uint32) (list []*Endpoint) {
+// byKey returns the endpoints with a Key.
+func (s *Snapshot) byKey(key uint32) (list []*Endpoint) {
 	for _, service := range s.Endpoints {
 		for _, e := range service {
 			if e.Start().Key() == key {
@@ -103,22 +104,22 @@
 	return list
 }
 
-// endpoint returns a start of an endpoint, nil where it is not known.
-func (b *book) endpoint(start Start) *Endpoint {
+// endpoint returns the endpoint with this start, or nil if it is not known.
+func (b *builder) endpoint(start Start) *Endpoint {
 	if e := b.endpoints[start.ID]; e != nil && e.Start() == start {
 		return e
 	}
 	return nil
 }
 
-// announce takes what endpoints have said.
-func (s *State) announce(b *book, now time.Time) {
+// applyLeaves applies the queued leave notices.
+func (s *State) applyLeaves(b *builder, now time.Time) {
 	changed := false
-	for start, source := range s.announcements.take() {
-		if _, known := b.announced[start]; known {
+	for start, source := range s.leaves.take() {
+		if _, known := b.leaveNotices[start]; known {
 			continue
 		}
-		b.announced[start] = announced{key: start.Key(), at: now, seen: now}
+		b.leaveNotices[start] = leaveNotice{key: start.Key(), received: now, lastKnown: now}
 		changed = true
 		f := decision.Fields{"endpoint": start.ID, "source": source}
 		if !start.Born.IsZero() {
@@ -131,20 +132,22 @@
 	}
 }
 
-// forgetAnnounced drops the words of endpoints that are long gone.
-func (b *book) forgetAnnounced(now time.Time) {
-	for start, a := range b.announced {
+// expireLeaveNotices drops the notices whose endpoints have been unknown for
+// leaveNoticeTTL.
+func (b *builder) expireLeaveNotices(now time.Time) {
+	for start, a := range b.leaveNotices {
 		if b.endpoint(start) != nil {
-			a.seen = now
-			b.announced[start] = a
+			a.lastKnown = now
+			b.leaveNotices[start] = a
 		}
 	}
-	maps.DeleteFunc(b.announced, func(_ Start, a announced) bool { return now.Sub(a.seen) >= announcedFor })
+	maps.DeleteFunc(b.leaveNotices, func(_ Start, a leaveNotice) bool { return now.Sub(a.lastKnown) >= leaveNoticeTTL })
 }
 
-// untold returns what other nodes are to be told: the store tells them the rest.
-func (b *book) untold() (list []announced) {
-	for start, a := range b.announced {
+// unstoredLeaves returns the notices that the store does not show yet, for other
+// nodes: they read the rest from the store.
+func (b *builder) unstoredLeaves() (list []leaveNotice) {
+	for start, a := range b.leaveNotices {
 		if e := b.endpoint(start); e != nil && !e.Draining {
 			list = append(list, a)
 		}
--- a/internal/deployment/announce_test.go
+++ b/internal/deployment/announce_test.go
@@ -10,40 +10,40 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// start is a start of an endpoint whose entry does not say when it was.
+// start returns a start of an endpoint whose entry does not say when it started.
 func start(id string) deployment.Start { return deployment.Start{ID: id} }
 
-// Guards against requests to an endpoint that has said itself that it leaves, whatever
-// the store and the peers say of it afterwards.
-func TestEndpointThatAnnouncesItsLeave(t *testing.T) {
-	first := reading(in(1, 4), entry("a", 1, ""), entry("b", 2, ""))
+// Guards against requests to an endpoint that has announced its leave, whatever the
+// store and the peers report afterwards.
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
+	first := fullRead(in(1, 4), entry("a", 1, ""), entry("b", 2, ""))
 	cases := []struct {
 		name  string
 		after []deployment.Update
 		want  []string
-		// told says that peers are told of a's leave.
-		told bool
+		// gossiped says that peers are sent a's leave.
+		gossiped bool
 	}{
-		{name: "the store says nothing", want: []string{"b"}, told: true},
-		{name: "the store says that it takes", after: []deployment.Update{told(in(1, 5), entry("a", 5, ""))}, want: []string{"b"}, told: true},
-		{name: "the store says so too", after: []deployment.Update{told(in(1, 5), entry("a", 5, "draining"))}, want: []string{"b"}},
+		{name: "the store says nothing", want: []string{"b"}, gossiped: true},
+		{name: "the store says that it is ready", after: []deployment.Update{delta(in(1, 5), entry("a", 5, ""))}, want: []string{"b"}, gossiped: true},
+		{name: "the store says so too", after: []deployment.Update{delta(in(1, 5), entry("a", 5, "draining"))}, want: []string{"b"}},
 		{
-			name:  "the store takes that back",
-			after: []deployment.Update{told(in(1, 5), entry("a", 5, "draining")), told(in(1, 6), entry("a", 6, ""))}, want: []string{"b"}, told: true,
+			name:  "the store says that it is ready again",
+			after: []deployment.Update{delta(in(1, 5), entry("a", 5, "draining")), delta(in(1, 6), entry("a", 6, ""))}, want: []string{"b"}, gossiped: true,
 		},
-		{name: "its entry is removed", after: []deployment.Update{told(in(1, 5), removal("a", 5))}, want: []string{"b"}},
+		{name: "its entry is removed", after: []deployment.Update{delta(in(1, 5), removal("a", 5))}, want: []string{"b"}},
 		{
 			name:  "its entry is removed and written again",
-			after: []deployment.Update{told(in(1, 5), removal("a", 5)), told(in(1, 6), entry("a", 6, ""))}, want: []string{"b"}, told: true,
+			after: []deployment.Update{delta(in(1, 5), removal("a", 5)), delta(in(1, 6), entry("a", 6, ""))}, want: []string{"b"}, gossiped: true,
 		},
 		{
 			name:  "its entry lapses with all others while the store is away",
-			after: []deployment.Update{{Items: []deployment.Item{removal("a", 5), removal("b", 6)}, Position: in(1, 6), Regained: true, Source: deployment.SourceStore}},
+			after: []deployment.Update{{Items: []deployment.Item{removal("a", 5), removal("b", 6)}, Position: in(1, 6), AfterOutage: true, Source: deployment.SourceStore}},
 			want:  []string{"b"},
 		},
-		{name: "the store comes back from a copy", after: []deployment.Update{reading(in(2, 4), entry("a", 1, ""), entry("b", 2, ""))}, want: []string{"b"}, told: true},
-		{name: "another start has its ID", after: []deployment.Update{told(in(1, 5), entry("a", 5, "born"))}, want: []string{"a", "b"}},
-		{name: "another endpoint has come", after: []deployment.Update{told(in(1, 5), entry("c", 5, ""))}, want: []string{"b", "c"}, told: true},
+		{name: "the store is restored from a copy", after: []deployment.Update{fullRead(in(2, 4), entry("a", 1, ""), entry("b", 2, ""))}, want: []string{"b"}, gossiped: true},
+		{name: "another start has its ID", after: []deployment.Update{delta(in(1, 5), entry("a", 5, "born"))}, want: []string{"a", "b"}},
+		{name: "another endpoint has been added", after: []deployment.Update{delta(in(1, 5), entry("c", 5, ""))}, want: []string{"b", "c"}, gossiped: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,51 +60,52 @@
 				}
 				synctest.Wait()
 				require.Equal(t, c.want, usable(s))
-				require.Equal(t, c.told, len(s.Announced(time.Time{})) > 0)
+				require.Equal(t, c.gossiped, len(s.Announced(time.Time{})) > 0)
 			})
 		})
 	}
 }
 
-// Guards against endpoints that are kept from requests since a peer named another
-// one, or one that is not known.
-func TestLeavingEndpointsThatPeersTell(t *testing.T) {
+// Guards against withholding requests from an endpoint because a peer named another
+// one that is leaving, or one that is not known.
+func TestLeavingEndpointsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}})
 		defer s.Close()
-		s.Apply(t.Context(), reading(in(1, 4), entry("a", 1, ""), entry("b", 2, ""), entry("c", 3, "draining")))
+		s.Apply(t.Context(), fullRead(in(1, 4), entry("a", 1, ""), entry("b", 2, ""), entry("c", 3, "draining")))
 		synctest.Wait()
 		s.LeavingHeard([]uint32{start("a").Key(), start("c").Key(), start("unknown").Key()}, "peer")
 		synctest.Wait()
 		require.Equal(t, []string{"b"}, usable(s))
 		require.Equal(t, []uint32{start("a").Key()}, s.Announced(time.Time{}))
 		time.Sleep(time.Second)
-		require.Empty(t, s.Announced(time.Now().Add(-time.Millisecond)), "it is no news any more")
-		s.Apply(t.Context(), told(in(1, 5), entry("unknown", 5, "")))
+		require.Empty(t, s.Announced(time.Now().Add(-time.Millisecond)), "it is older than the given time")
+		s.Apply(t.Context(), delta(in(1, 5), entry("unknown", 5, "")))
 		synctest.Wait()
-		require.Equal(t, []string{"b", "unknown"}, usable(s), "who was not known when it was named is known by its own word only")
+		require.Equal(t, []string{"b", "unknown"}, usable(s), "a notice for an endpoint that is not known is ignored")
 	})
 }
 
-// Guards against a memory that grows with every endpoint that ever left.
-func TestAnnouncementsAreForgotten(t *testing.T) {
+// Guards against unbounded memory: a leave notice kept for every endpoint that ever
+// left.
+func TestLeaveNoticesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}})
 		defer s.Close()
 		back := func(revision uint64) []string {
-			s.Apply(t.Context(), told(in(1, revision), entry("a", revision, "")))
+			s.Apply(t.Context(), delta(in(1, revision), entry("a", revision, "")))
 			synctest.Wait()
 			return usable(s)
 		}
-		s.Apply(t.Context(), reading(in(1, 4), entry("a", 1, "")))
+		s.Apply(t.Context(), fullRead(in(1, 4), entry("a", 1, "")))
 		synctest.Wait()
 		s.Leaving(start("a"), "answer")
 		time.Sleep(time.Hour)
 		require.Empty(t, back(5), "it is known all the time")
-		s.Apply(t.Context(), told(in(1, 6), removal("a", 6)))
+		s.Apply(t.Context(), delta(in(1, 6), removal("a", 6)))
 		time.Sleep(9 * time.Minute)
 		require.Empty(t, back(7))
-		s.Apply(t.Context(), told(in(1, 8), removal("a", 8)))
+		s.Apply(t.Context(), delta(in(1, 8), removal("a", 8)))
 		time.Sleep(11 * time.Minute)
 		require.Equal(t, []string{"a"}, back(9))
 	})
--- a/internal/deployment/cold_test.go
+++ b/internal/deployment/cold_test.go
@@ -11,27 +11,27 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// alone is what a node hears that knows of no other.
-type alone struct{}
+// noPeers are the loads that a node without peers sees.
+type noPeers struct{}
 
-func (alone) Others(uint32) int { return 0 }
+func (noPeers) Others(uint32) int { return 0 }
 
-func (alone) OthersReading(uint32) int { return 0 }
+func (noPeers) OthersReading(uint32) int { return 0 }
 
-func (alone) OthersFailures(uint32) int { return 0 }
+func (noPeers) OthersFailures(uint32) int { return 0 }
 
-func (alone) Age(time.Time) time.Duration { return 0 }
+func (noPeers) Age(time.Time) time.Duration { return 0 }
 
-// Guards against a node that takes all engines for cold just after it has learnt of
-// them, and refuses what they have room for.
-func TestWarmEnginesServeAsSoonAsTheyAreKnown(t *testing.T) {
+// Guards against a node that treats all engines as cold just after it has learned
+// of them, and refuses requests that they have room for.
+func TestNewlyListedEnginesAreWarm(t *testing.T) {
 	const engines, slots = 20, 4
 	service := deployment.Service{Name: "s", Model: true, Slots: slots, Cold: coldFor, ColdRate: 18}
 	cases := []struct {
 		name   string
 		update func(items []deployment.Item) deployment.Update
 	}{
-		{name: "from the store", update: func(items []deployment.Item) deployment.Update { return reading(at(engines), items...) }},
+		{name: "from the store", update: func(items []deployment.Item) deployment.Update { return fullRead(at(engines), items...) }},
 		{name: "from a peer", update: func(items []deployment.Item) deployment.Update {
 			return deployment.Update{Items: items, Position: at(engines), Whole: true, Source: "peer"}
 		}},
@@ -41,7 +41,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
 				defer s.Close()
-				b := balance.New(balance.Config{Loads: alone{}})
+				b := balance.New(balance.Config{Loads: noPeers{}})
 				var items []deployment.Item
 				for n := range uint64(engines) {
 					items = append(items, entry(string(rune('a'+n)), n+1, ""))
@@ -58,9 +58,9 @@
 	}
 }
 
-// Guards against all nodes coming back to an engine in the moment in which its
-// entry says that it is warm: each adds a margin of its own to the time.
-func TestEngineThatSaysThatItIsWarmWasColdUntilThen(t *testing.T) {
+// Guards against all nodes returning to an engine at the moment at which its entry
+// says that it is warm: each node adds a margin of its own to ColdUntil.
+func TestColdTimeEndsWithWarmEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
 		defer s.Close()
@@ -68,14 +68,14 @@
 			synctest.Wait()
 			return s.Snapshot().Endpoints["s"][0].ColdUntil
 		}
-		s.Apply(t.Context(), told(at(1), entry("a", 1, "cold")))
+		s.Apply(t.Context(), delta(at(1), entry("a", 1, "cold")))
 		end := time.Now().Add(coldFor)
 		require.Equal(t, end, until())
 		time.Sleep(coldFor / 2)
-		s.Apply(t.Context(), told(at(2), entry("a", 2, "")))
+		s.Apply(t.Context(), delta(at(2), entry("a", 2, "")))
 		require.Equal(t, time.Now(), until())
 		time.Sleep(coldFor)
-		s.Apply(t.Context(), told(at(3), entry("a", 3, "draining")))
+		s.Apply(t.Context(), delta(at(3), entry("a", 3, "draining")))
 		require.Equal(t, end.Add(-coldFor/2), until())
 	})
 }
--- a/internal/deployment/config.go
+++ b/internal/deployment/config.go
@@ -11,17 +11,18 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// AtMostOnce requests run once at most.
+	// AtMostOnce requests run at most once.
 	AtMostOnce
-	// Streaming requests are answered with events, and run once at most.
+	// Streaming requests are answered with events, and run at most once.
 	Streaming
-	// Resumable requests are answered with events, and may go on at another
-	// endpoint after the last event that arrived.
+	// Resumable requests are answered with events, and may resume at another
+	// endpoint after the last event received.
 	Resumable
 )
 
 type (
-	// Kind is what may be repeated of a route's requests.
+	// Kind says how a route's requests are answered, and whether they may be
+	// retried.
 	Kind int
 
 	// Config is one version of what operators publish. It is immutable.
@@ -36,7 +37,7 @@
 		keys  map[string]*Account
 	}
 
-	// Route says which service answers the requests of a host and path.
+	// Route sends the requests of a host and path prefix to services.
 	Route struct {
 		Name string
 		Host string
@@ -44,11 +45,12 @@
 		Prefix string
 		Kind   Kind
 		Split  []Share
-		// Timeout is how long a request may stay unanswered.
+		// Timeout is how long a request may wait for its answer.
 		Timeout time.Duration
-		// Objective is when an answer, or a stream's first event, is due.
+		// Objective is the target latency of an answer, or of a stream's first
+		// event.
 		Objective time.Duration
-		// Pause is the longest wanted time between two events.
+		// Pause is the target for the longest time between two events.
 		Pause time.Duration
 		// Attempts is how many endpoints may run one request.
 		Attempts int
@@ -56,9 +58,10 @@
 		Priority int
 		// Public routes need no API key.
 		Public bool
-		// Cached routes carry prompts, parts of which endpoints keep in memory.
+		// Cached routes carry prompts, parts of which endpoints cache.
 		Cached bool
-		// Homes are the regions in which the requests may run, all if empty.
+		// Homes are the residency regions of the requests, where they may run; all
+		// regions if empty.
 		Homes []string
 	}
 
@@ -68,16 +71,16 @@
 		Weight  int
 	}
 
-	// Service is a set of alike endpoints.
+	// Service is a set of interchangeable endpoints.
 	Service struct {
 		Name        string
 		Health      string
 		Connections int
 		// Model says whether the endpoints are model engines.
 		Model bool
-		// Cold is for how long an endpoint is cold after its start, and ColdRate
-		// how many requests a second it bears meanwhile, from all nodes; 0 where
-		// it bears all.
+		// Cold is how long an endpoint is cold after its start, and ColdRate how
+		// many requests a second it sustains meanwhile, from all nodes together; 0
+		// means no limit.
 		Cold     time.Duration
 		ColdRate float64
 		// Slots is how many requests one engine runs at once.
@@ -90,9 +93,10 @@
 	Account struct {
 		Name string
 		Keys []string
-		// Priority goes before the routes' priority; 0 is the most urgent.
+		// Priority takes precedence over the route's; 0 is the most urgent.
 		Priority int
-		// Homes are the regions in which its requests may run, all if empty.
+		// Homes are the residency regions of its requests, where they may run; all
+		// regions if empty.
 		Homes []string
 	}
 
@@ -111,8 +115,7 @@
 // Repeats reports whether a request of the kind may run more than once.
 func (k Kind) Repeats() bool { return k == Idempotent || k == Resumable }
 
-// Index prepares the configuration for look-ups; it must be called once before
-// the others.
+// Index builds the lookup tables; it must be called once before the lookups.
 func (c *Config) Index() {
 	c.hosts = make(map[string][]*Route)
 	for i := range c.Routes {
@@ -131,7 +134,7 @@
 	}
 }
 
-// Route returns the route with the longest prefix of a host's path, nil where
+// Route returns the host's route with the longest prefix of the path, or nil if
 // there is none.
 func (c *Config) Route(host, path string) *Route {
 	for _, r := range c.hosts[strings.ToLower(host)] {
@@ -142,11 +145,11 @@
 	return nil
 }
 
-// Account returns the account that holds an API key, nil where none does.
+// Account returns the account that holds an API key, or nil if none does.
 func (c *Config) Account(key string) *Account { return c.keys[key] }
 
-// Homes returns the regions in which all requests to a host may run that may not
-// run everywhere; it is empty where there are none.
+// Homes returns the residency regions that all restricted routes of a host have in
+// common; nil if no route is restricted.
 func (c *Config) Homes(host string) []string {
 	var homes []string
 	for _, r := range c.hosts[strings.ToLower(host)] {
@@ -161,7 +164,7 @@
 	return homes
 }
 
-// Service picks the service for a number drawn evenly from 0 up to 1.
+// Service picks a service by weight; draw is uniform in [0, 1).
 func (r *Route) Service(draw float64) string {
 	total := 0
 	for _, s := range r.Split {
--- a/internal/deployment/evacuation_test.go
+++ b/internal/deployment/evacuation_test.go
@@ -16,11 +16,11 @@
 	return deployment.Item{Key: "z/" + zone, Value: []byte("{}"), Revision: revision}
 }
 
-func takenBack(zone string, revision uint64) deployment.Item {
+func evacuationEnd(zone string, revision uint64) deployment.Item {
 	return deployment.Item{Key: "z/" + zone, Revision: revision, Removed: true}
 }
 
-// evacuated returns the zones that a state takes for evacuated.
+// evacuated returns the zones that a state considers evacuated.
 func evacuated(s *deployment.State) []string {
 	return slices.Sorted(maps.Keys(s.Snapshot().Evacuated))
 }
@@ -35,7 +35,7 @@
 	return list
 }
 
-// cold returns the endpoints that are believed to be cold.
+// cold returns the endpoints that the state considers cold.
 func cold(s *deployment.State) (list []string) {
 	for _, e := range s.Snapshot().Endpoints["s"] {
 		if e.IsCold(time.Now()) {
@@ -45,8 +45,8 @@
 	return list
 }
 
-// Guards against this failure: requests reach endpoints of a zone five seconds after its
-// evacuation, or none reach them after it was taken back.
+// Guards against requests to endpoints of a zone five seconds after its evacuation,
+// and against a zone that gets none after the evacuation has ended.
 func TestEvacuations(t *testing.T) {
 	start := deployment.Update{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(2), Whole: true, Source: deployment.SourceStore}
 	cases := []struct {
@@ -60,16 +60,16 @@
 			want:    []string{"a"},
 		},
 		{
-			name: "until it is taken back",
+			name: "until the evacuation ends",
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("a", 3)}, Position: at(3), Source: "n1"},
-				{Items: []deployment.Item{takenBack("a", 4)}, Position: at(4), Source: "n2"},
+				{Items: []deployment.Item{evacuationEnd("a", 4)}, Position: at(4), Source: "n2"},
 			},
 		},
 		{
-			name: "an older beginning says nothing after the end",
+			name: "an older start does not apply after the end",
 			updates: []deployment.Update{
-				{Items: []deployment.Item{takenBack("a", 4)}, Position: at(4), Source: "n2"},
+				{Items: []deployment.Item{evacuationEnd("a", 4)}, Position: at(4), Source: "n2"},
 				{Items: []deployment.Item{evacuation("a", 3)}, Position: at(3), Source: "n1"},
 			},
 		},
@@ -78,7 +78,7 @@
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("a", 3)}, Position: at(3), Source: "n1"},
 				{Items: []deployment.Item{evacuation("a", 5)}, Position: at(5), Source: "n1"},
-				{Items: []deployment.Item{takenBack("a", 4)}, Position: at(4), Source: "n2"},
+				{Items: []deployment.Item{evacuationEnd("a", 4)}, Position: at(4), Source: "n2"},
 			},
 			want: []string{"a"},
 		},
@@ -90,14 +90,14 @@
 			want: []string{"a", "b"},
 		},
 		{
-			name: "a reading that lacks it ends it",
+			name: "a full read that lacks it ends it",
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("a", 3)}, Position: at(3), Source: deployment.SourceStore},
-				{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(5), Whole: true, Regained: true, Source: deployment.SourceStore},
+				{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(5), Whole: true, AfterOutage: true, Source: deployment.SourceStore},
 			},
 		},
 		{
-			name: "an older reading that lacks it does not",
+			name: "an older full read that lacks it does not",
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("a", 6)}, Position: at(6), Source: "n1"},
 				{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(5), Whole: true, Source: deployment.SourceStore},
@@ -105,8 +105,8 @@
 			want: []string{"a"},
 		},
 		{
-			// Pages of a listing are no snapshot: what was written after the first
-			// page counts as read at the first page's revision.
+			// A paged read is no snapshot: what was written after the first page
+			// counts as read at the first page's revision.
 			name: "nor does one whose first page is older than what others know",
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("a", 6)}, Position: at(4), Source: "n1"},
@@ -115,7 +115,7 @@
 			want: []string{"a"},
 		},
 		{
-			name: "an endpoint that comes while its zone is evacuated",
+			name: "an endpoint that starts while its zone is evacuated",
 			updates: []deployment.Update{
 				{Items: []deployment.Item{evacuation("c", 3), entry("c", 4, "")}, Position: at(4), Source: deployment.SourceStore},
 			},
@@ -138,9 +138,9 @@
 	}
 }
 
-// Guards against this failure: requests are refused by endpoints that are not the ones meant,
-// until the budget of repeats is used up.
-func TestNewestEndpointOfAnAddressReplacesTheOthers(t *testing.T) {
+// Guards against requests for an endpoint that reach another one at the same
+// address, which refuses them until the retry budget is used up.
+func TestNewestEndpointOfAddressReplacesOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
 		defer s.Close()
@@ -165,26 +165,26 @@
 	})
 }
 
-// Guards against this failure: engines of a zone that was taken back crash under the requests
-// that come back to them.
-func TestEndpointsOfAZoneTakenBackAreCold(t *testing.T) {
+// Guards against engines that crash under the requests that return to a zone all at
+// once after its evacuation has ended.
+func TestEndpointsAreColdAfterEvacuation(t *testing.T) {
 	config := deployment.Item{Key: "config", Value: []byte("x"), Revision: 1}
 	start := deployment.Update{Items: []deployment.Item{config, entry("a", 2, ""), entry("b", 3, "")}, Position: at(3), Whole: true, Source: deployment.SourceStore}
 	cases := []struct {
 		name  string
 		items []deployment.Item
-		// wait is how long after the update the endpoints are looked at.
+		// wait is how long after the update the endpoints are checked.
 		wait time.Duration
 		want []string
 	}{
 		{name: "warm ones stay warm", items: []deployment.Item{entry("a", 4, "")}},
 		{name: "one says that it is cold", items: []deployment.Item{entry("a", 4, "cold")}, want: []string{"a"}},
 		{name: "for as long as it says", items: []deployment.Item{entry("a", 4, "cold")}, wait: coldFor},
-		{name: "a zone is taken back", items: []deployment.Item{evacuation("a", 4), takenBack("a", 5)}, want: []string{"a"}},
-		{name: "and is warm after the time", items: []deployment.Item{evacuation("a", 4), takenBack("a", 5)}, wait: coldFor},
-		{name: "only its end is heard of", items: []deployment.Item{takenBack("a", 5)}, want: []string{"a"}},
-		{name: "an entry written before says nothing", items: []deployment.Item{takenBack("a", 5), entry("a", 4, "")}, want: []string{"a"}},
-		{name: "one written after says that it is warm", items: []deployment.Item{takenBack("a", 5), entry("a", 6, "")}},
+		{name: "an evacuation ends", items: []deployment.Item{evacuation("a", 4), evacuationEnd("a", 5)}, want: []string{"a"}},
+		{name: "and is warm after the time", items: []deployment.Item{evacuation("a", 4), evacuationEnd("a", 5)}, wait: coldFor},
+		{name: "only its end is received", items: []deployment.Item{evacuationEnd("a", 5)}, want: []string{"a"}},
+		{name: "an entry written before does not change that", items: []deployment.Item{evacuationEnd("a", 5), entry("a", 4, "")}, want: []string{"a"}},
+		{name: "one written after says that it is warm", items: []deployment.Item{evacuationEnd("a", 5), entry("a", 6, "")}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/deployment/position.go
+++ b/internal/deployment/position.go
@@ -4,10 +4,10 @@
 
 // Position is a point in the history of the platform's store.
 //
-// The store gives revisions out again after it was restored from a copy, so that
-// a revision says nothing without the epoch.
+// The store reuses revisions after it was restored from a copy, so that a revision
+// means nothing without its epoch.
 type Position struct {
-	// Epoch counts how often the store was restored, 0 where it does not say.
+	// Epoch counts how often the store was restored, 0 if it does not say.
 	Epoch uint64 `json:"epoch"`
 	// Revision counts the changes within an epoch.
 	Revision uint64 `json:"revision"`
--- a/internal/deployment/property_test.go
+++ b/internal/deployment/property_test.go
@@ -15,8 +15,8 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// Whatever the routes, the one found is of the host, and no other of its routes
-// with a longer prefix begins the path.
+// The route found is of the requested host, and no other of its routes has a longer
+// prefix of the path.
 func TestRouteIsTheLongestPrefix(t *testing.T) {
 	path := rapid.StringMatching(`/([ab]/){0,4}`)
 	host := rapid.SampledFrom([]string{"h", "H", "other"})
@@ -44,8 +44,8 @@
 	})
 }
 
-// A host's homes are those that all its routes with homes allow.
-func TestHomesOfAHost(t *testing.T) {
+// A host's residency regions are those that all its restricted routes allow.
+func TestHostResidencyRegions(t *testing.T) {
 	c := &deployment.Config{Routes: []deployment.Route{
 		{Host: "h", Prefix: "/a/"},
 		{Host: "h", Prefix: "/b/", Homes: []string{"x", "y"}},
@@ -58,8 +58,8 @@
 	require.Empty(t, c.Homes("unknown"))
 }
 
-// Whatever the draws, a split's parts come in their weights' order, and a service
-// without weight is never picked where another has some.
+// Every draw picks a service of the split, and never one without weight if another
+// has some.
 func TestSplitPicksByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := deployment.Route{}
@@ -78,8 +78,9 @@
 	})
 }
 
-// Guards against this failure: two nodes that have heard the same news know different things.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// Guards against two nodes that got the same updates in different orders and end in
+// different states.
+func TestUpdateOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var items []deployment.Item
 		newest := map[string]deployment.Item{}
@@ -92,9 +93,9 @@
 			items = append(items, item)
 			newest[id] = item
 		}
-		told := slices.Concat(items, items)
+		shuffled := slices.Concat(items, items)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "order"), 0))
-		random.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
+		random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		var want []string
 		for id, item := range newest {
 			if !item.Removed {
@@ -102,11 +103,11 @@
 			}
 		}
 		slices.Sort(want)
-		require.Equal(r, want, known(t, told))
+		require.Equal(r, want, known(t, shuffled))
 	})
 }
 
-// known returns the endpoints that a state knows after updates of one item each.
+// known returns the endpoints that a state holds after one update per item.
 func known(t *testing.T, items []deployment.Item) (list []string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
--- a/internal/deployment/record.go
+++ b/internal/deployment/record.go
@@ -9,31 +9,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// removalsKept is how many removed items a node remembers: some 340 starts of
-// endpoints a day are to be borne, so that this is more than a day, in 100 KB.
+// removalsKept is how many removed items a node remembers: more than a day of
+// removals, at some 340 endpoint starts a day, in 100 KB.
 const removalsKept = 1000
 
-// Record is what a node has read of the store, as it tells it to other nodes. It
+// Record is the store's content as a node knows it and sends it to other nodes. It
 // is immutable.
 type Record struct {
-	// Items are all known ones of the epoch, among them those that were removed
+	// Items are the known items of the epoch, including those that were removed
 	// after Since.
 	Items []Item
 	// Position is the one up to which all changes are known.
 	Position
 	// Since is the epoch's revision up to which a removal may be unknown: that of
-	// the newest reading of everything that closed a gap, or 0.
+	// the newest full read that closed a gap, or 0.
 	Since uint64
-	// Former are items of earlier epochs that still hold though the present one
+	// Former are items of earlier epochs that still apply though the current one
 	// does not have them.
 	Former []Item
-	// Digest is the same for all nodes that know the same at one revision.
+	// Digest is equal on all nodes that know the same items at the same revisions.
 	Digest uint32
 }
 
-// newRecord returns the record of a book.
-func newRecord(b *book) *Record {
-	r := &Record{Items: slices.Collect(maps.Values(b.items)), Position: b.position, Since: b.since, Former: b.formers()}
+// newRecord returns the record of a builder's state.
+func newRecord(b *builder) *Record {
+	r := &Record{Items: slices.Collect(maps.Values(b.items)), Position: b.position, Since: b.since, Former: b.carriedItems()}
 	for _, i := range r.Items {
 		if !i.Removed {
 			r.Digest ^= i.digest()
@@ -46,17 +46,16 @@
 	return uint32(xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(i.Key), i.Revision)))
 }
 
-// After returns what changed after a position, or everything there is, which
-// whole says.
+// After returns the changes after a position, or all present items, as whole
+// reports.
 //
-// Who has read everything knows nothing of an entry that was removed before. As
-// the difference from an earlier revision its items would lack the removal; one
-// would see the asking node send requests to an endpoint long after it has left,
-// though it takes all later news. From everything there is, the asking node finds
-// out itself what is gone.
+// A node that has made a full read knows nothing of entries that were removed
+// before. A delta from an earlier revision would lack these removals; the asking
+// node would keep sending requests to an endpoint long after it has left, though it
+// receives all later changes. Given all items, it finds out itself which entries
+// are gone.
 //
-// Nor is there a difference between two epochs, in which one revision names two
-// changes.
+// Nor is there a delta between two epochs, in which one revision names two changes.
 func (r *Record) After(p Position) (items []Item, whole bool) {
 	whole = p.Epoch != r.Epoch || p.Revision < r.Since
 	for _, i := range r.Items {
@@ -67,9 +66,9 @@
 	return items, whole
 }
 
-// forget drops the oldest removals where there are too many, and returns the
+// pruneRemovals drops the oldest removals if there are too many, and returns the
 // newest revision of those it dropped.
-func forget(items map[string]Item) uint64 {
+func pruneRemovals(items map[string]Item) uint64 {
 	var removed []Item
 	for _, i := range items {
 		if i.Removed {
--- a/internal/deployment/record_test.go
+++ b/internal/deployment/record_test.go
@@ -16,42 +16,42 @@
 
 const (
 	// fleetNodes is how many nodes the model has, modelDays how many days it
-	// plays, and modelSteps how many events a day has.
+	// simulates, and modelSteps how many events a day has.
 	fleetNodes = 3
 	modelDays  = 300
 	modelSteps = 200
 )
 
 var (
-	// modelEvents are the model's, the frequent ones more than once.
+	// modelEvents are the model's events; frequent ones occur more than once.
 	modelEvents = strings.Fields("start read watch watch pull pull ask ask ask answer answer answer change change change change evacuate evacuate")
-	// restoredEvents are those of a store that is restored now and then.
+	// restoredEvents are those of a store that is sometimes restored.
 	restoredEvents = append(strings.Fields("restore"), modelEvents...)
 )
 
 type (
-	// history is all changes that a store has taken, in their order.
+	// history is all changes that a store has accepted, in order.
 	history []deployment.Item
 
-	// epochs are the store's histories, the present one last. Each begins with a
-	// part of the one before.
+	// epochs are the store's histories, the current one last. Each begins with a
+	// prefix of the one before.
 	epochs []history
 
-	// modelNode is a node of the model, and answers on their way to it.
+	// modelNode is a node of the model, with the answers in flight to it.
 	modelNode struct {
-		state  *deployment.State
-		coming []deployment.Update
+		state   *deployment.State
+		pending []deployment.Update
 	}
 
 	// step is one event of the model.
 	step struct {
-		what       string
+		event      string
 		node, peer int
 		endpoint   string
 		// present says that the changed endpoint, or the evacuation of its zone,
-		// is there afterwards.
+		// exists afterwards.
 		present bool
-		// lost is how many changes a copy lacks.
+		// lost is how many changes the restored copy lacks.
 		lost int
 	}
 )
@@ -64,10 +64,10 @@
 		want  []deployment.Item
 		whole bool
 	}{
-		{name: "the difference from where removals are known", after: 5, want: []deployment.Item{removal("b", 7), entry("c", 8, "")}},
+		{name: "a delta from where removals are known", after: 5, want: []deployment.Item{removal("b", 7), entry("c", 8, "")}},
 		{name: "nothing from the newest", after: 8},
 		{name: "everything from before", after: 4, want: []deployment.Item{entry("a", 3, ""), entry("c", 8, "")}, whole: true},
-		{name: "everything for who knows nothing", after: 0, want: []deployment.Item{entry("a", 3, ""), entry("c", 8, "")}, whole: true},
+		{name: "everything for a node that knows nothing", after: 0, want: []deployment.Item{entry("a", 3, ""), entry("c", 8, "")}, whole: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 // after returns the changes after a revision.
 func (h history) after(revision uint64) []deployment.Item { return h[revision:] }
 
-// at returns what there is at a revision.
+// at returns the items that exist at a revision.
 func (h history) at(revision uint64) (items []deployment.Item) {
 	newest := map[string]deployment.Item{}
 	for _, i := range h[:revision] {
@@ -99,7 +99,7 @@
 	return h.named("e/", revision)
 }
 
-// named returns what there is at a revision under a prefix, without it.
+// named returns the names under a key prefix that exist at a revision, sorted.
 func (h history) named(prefix string, revision uint64) (list []string) {
 	for _, i := range h.at(revision) {
 		if name, ok := strings.CutPrefix(i.Key, prefix); ok {
@@ -117,7 +117,7 @@
 
 func (n *modelNode) position() deployment.Position { return n.state.Snapshot().Position }
 
-// ask returns what a peer answers now.
+// ask returns a peer's answer to a request made now.
 func (n *modelNode) ask(peer *modelNode) deployment.Update {
 	record := peer.state.Record()
 	items, whole := record.After(n.position())
@@ -131,32 +131,32 @@
 	return &modelNode{state: deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})}
 }
 
-// Guards against this failure: a node sends requests to an endpoint that has left, and is told
-// all other news.
-func TestNodesKnowAllUpToTheirRevision(t *testing.T) { playModels(t, modelEvents, 0) }
+// Guards against a node that misses a removal, and sends requests to an endpoint
+// that has left, though it gets all later updates.
+func TestNodesMatchStoreAtTheirRevision(t *testing.T) { runModels(t, modelEvents, 0) }
 
-// Guards against the same where the store is restored from copies, so that one
-// revision names several changes.
-func TestNodesKnowAllUpToTheirPosition(t *testing.T) { playModels(t, restoredEvents, 1) }
+// Guards against the same failure after the store was restored from copies, so that
+// one revision names several changes.
+func TestNodesMatchStoreAtTheirPosition(t *testing.T) { runModels(t, restoredEvents, 1) }
 
-// playModels plays days of events that are drawn from some, from a first epoch on.
-func playModels(t *testing.T, events []string, epoch uint64) {
+// runModels simulates days of random events, from the given first epoch on.
+func runModels(t *testing.T, events []string, epoch uint64) {
 	for seed := range uint64(modelDays) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		steps := make([]step, modelSteps)
 		for i := range steps {
 			steps[i] = step{
-				what: events[random.IntN(len(events))], node: random.IntN(fleetNodes), peer: random.IntN(fleetNodes),
+				event: events[random.IntN(len(events))], node: random.IntN(fleetNodes), peer: random.IntN(fleetNodes),
 				endpoint: string(rune('a' + random.IntN(3))), present: random.IntN(2) == 0, lost: random.IntN(6),
 			}
 		}
-		synctest.Test(t, func(t *testing.T) { require.Empty(t, playModel(t, steps, epoch), "seed %d", seed) })
+		synctest.Test(t, func(t *testing.T) { require.Empty(t, runModel(t, steps, epoch), "seed %d", seed) })
 	}
 }
 
-// playModel plays the steps and tells the first one after which a node knows
-// anything else than the store had at the node's position.
-func playModel(t *testing.T, steps []step, first uint64) string {
+// runModel executes the steps and describes the first one after which a node's
+// state differs from the store's at the node's position.
+func runModel(t *testing.T, steps []step, first uint64) string {
 	store := epochs{{config("x", 1)}}
 	nodes := []*modelNode{newModelNode(), newModelNode(), newModelNode()}
 	defer func() {
@@ -165,14 +165,14 @@
 		}
 	}()
 	for at, s := range steps {
-		if s.what == "start" {
+		if s.event == "start" {
 			nodes[s.node].state.Close()
 			nodes[s.node] = newModelNode()
 		}
 		before := nodes[s.node].position()
-		store = nodes[s.node].play(t, s, nodes[s.peer], store, first)
+		store = nodes[s.node].run(t, s, nodes[s.peer], store, first)
 		if entered := nodes[s.node].position(); before.Epoch != entered.Epoch {
-			// What holds of the epoch before ends with time.
+			// Items carried over from the previous epoch expire.
 			time.Sleep(settled)
 			synctest.Wait()
 		}
@@ -180,17 +180,17 @@
 			p := n.position()
 			h := store.of(p.Epoch, first)
 			if want, got := h.endpoints(p.Revision), ids(n.state); !slices.Equal(want, got) {
-				return fmt.Sprintf("node %d knows %v in place of %v at %v after %v", i, got, want, p, steps[:at+1])
+				return fmt.Sprintf("node %d knows %v instead of %v at %v after %v", i, got, want, p, steps[:at+1])
 			}
 			if want, got := h.named("z/", p.Revision), evacuated(n.state); !slices.Equal(want, got) {
-				return fmt.Sprintf("node %d takes %v for evacuated in place of %v at %v after %v", i, got, want, p, steps[:at+1])
+				return fmt.Sprintf("node %d considers %v evacuated instead of %v at %v after %v", i, got, want, p, steps[:at+1])
 			}
 		}
 	}
 	return ""
 }
 
-// of returns the history of an epoch; a node that knows nothing is in none.
+// of returns the history of an epoch; a node that has read nothing is in none.
 func (e epochs) of(epoch, first uint64) history {
 	if epoch < first {
 		return nil
@@ -198,8 +198,8 @@
 	return e[epoch-first]
 }
 
-// play plays a step at the node and returns the store after it.
-func (n *modelNode) play(t *testing.T, s step, peer *modelNode, store epochs, first uint64) epochs {
+// run executes a step at the node and returns the store after it.
+func (n *modelNode) run(t *testing.T, s step, peer *modelNode, store epochs, first uint64) epochs {
 	epoch, h := first+uint64(len(store))-1, store[len(store)-1]
 	newest := uint64(len(h))
 	at := func(revision uint64) deployment.Position {
@@ -209,7 +209,7 @@
 		store[len(store)-1] = append(h[:len(h):len(h)], i)
 		return store
 	}
-	switch s.what {
+	switch s.event {
 	case "change":
 		i := removal(s.endpoint, newest+1)
 		if s.present {
@@ -229,28 +229,29 @@
 	case "pull":
 		n.apply(t, n.ask(peer))
 	case "ask":
-		n.coming = append(n.coming, n.ask(peer))
+		n.pending = append(n.pending, n.ask(peer))
 	case "answer":
-		if len(n.coming) > 0 {
-			n.apply(t, n.coming[0])
-			n.coming = n.coming[1:]
+		if len(n.pending) > 0 {
+			n.apply(t, n.pending[0])
+			n.pending = n.pending[1:]
 		}
 	}
 	return store
 }
 
-// Guards against this failure: every request is refused on a node for two seconds just after an
-// outage of the store.
-func TestReadingOfAPeerIsHeldBackWhileReadersFail(t *testing.T) {
+// Guards against a node that refuses every request for two seconds just after a
+// store outage.
+func TestRemovalsFromPeerReadAreHeldWhileReadersFail(t *testing.T) {
 	cases := []struct {
 		name string
-		// doubt is how long before the news a reader had failed, 0 for never.
-		doubt time.Duration
-		want  []string
+		// readerFailed is how long before the update a reader had failed, 0 for
+		// never.
+		readerFailed time.Duration
+		want         []string
 	}{
-		{name: "what a peer's reading lacks is gone", want: []string{"b"}},
-		{name: "but not while readers of the store fail", doubt: time.Second, want: []string{"a", "b"}},
-		{name: "nor later than entries may lapse", doubt: 3 * time.Second, want: []string{"b"}},
+		{name: "what a peer's full read lacks is removed", want: []string{"b"}},
+		{name: "but not while readers of the store fail", readerFailed: time.Second, want: []string{"a", "b"}},
+		{name: "nor later than entries may lapse", readerFailed: 3 * time.Second, want: []string{"b"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -258,9 +259,9 @@
 				n := newModelNode()
 				defer n.state.Close()
 				n.apply(t, deployment.Update{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(2), Whole: true, Source: deployment.SourceStore})
-				if c.doubt > 0 {
+				if c.readerFailed > 0 {
 					n.state.Doubt()
-					time.Sleep(c.doubt)
+					time.Sleep(c.readerFailed)
 				}
 				n.apply(t, deployment.Update{Items: []deployment.Item{entry("b", 2, "")}, Position: at(4), Whole: true, Source: "peer"})
 				require.Equal(t, c.want, ids(n.state))
@@ -269,9 +270,9 @@
 	}
 }
 
-// Guards against this failure: a node's memory and its answers to peers grow for as long as it
-// runs.
-func TestOldRemovalsAreForgotten(t *testing.T) {
+// Guards against removals that pile up in a node's memory and in its answers to
+// peers for as long as it runs.
+func TestOldRemovalsArePruned(t *testing.T) {
 	const starts = 3000
 	synctest.Test(t, func(t *testing.T) {
 		n := newModelNode()
--- a/internal/deployment/state_test.go
+++ b/internal/deployment/state_test.go
@@ -16,12 +16,12 @@
 
 var errBad = errors.New("bad")
 
-// coldFor is for how long an endpoint of the tests is cold.
+// coldFor is how long an endpoint of the tests is cold.
 const coldFor = 3 * time.Second
 
-// decoder takes "e/ID" for endpoints, each in a zone of the same name, whose
-// value is their state or "at" and their address, "z/ZONE" for evacuations, and "config/N" for
-// configurations of version N.
+// decoder decodes "e/ID" as endpoints, each in a zone of the same name, with their
+// state or "at" and their address as the value, "z/ZONE" as evacuations, and all
+// other keys as configurations whose version is the length of the value.
 type decoder struct{}
 
 func (decoder) Decode(i deployment.Item) (deployment.Change, error) {
@@ -51,7 +51,7 @@
 	return deployment.Change{Config: &deployment.Config{Version: uint64(len(i.Value)), Services: services}}, nil
 }
 
-// at is a position in the only epoch of a store that names none.
+// at returns a position in the only epoch of a store that does not count epochs.
 func at(revision uint64) deployment.Position { return deployment.Position{Revision: revision} }
 
 func entry(id string, revision uint64, value string) deployment.Item {
@@ -70,40 +70,40 @@
 	return list
 }
 
-func TestStateOfUpdates(t *testing.T) {
+func TestStateAfterUpdate(t *testing.T) {
 	const drain = 2 * time.Second
 	start := deployment.Update{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(2), Whole: true, Source: deployment.SourceStore}
 	cases := []struct {
 		name   string
 		update deployment.Update
-		// wait is how long after the update the endpoints are looked at.
+		// wait is how long after the update the endpoints are checked.
 		wait time.Duration
 		want []string
 	}{
 		{
-			name:   "a removal told by the store counts at once",
+			name:   "a removal read from the store takes effect at once",
 			update: deployment.Update{Items: []deployment.Item{removal("a", 3)}, Position: at(3), Source: deployment.SourceStore},
 			want:   []string{"b"},
 		},
 		{
-			// Guards against this failure: every request refused just after an outage of the store.
+			// Guards against refusing every request just after a store outage.
 			name:   "entries that are missing after an outage are kept for a while",
-			update: deployment.Update{Position: at(3), Whole: true, Regained: true, Source: deployment.SourceStore},
+			update: deployment.Update{Position: at(3), Whole: true, AfterOutage: true, Source: deployment.SourceStore},
 			want:   []string{"a", "b"},
 		},
 		{
-			// Guards against this failure: a request reaches an endpoint 2065 ms after it has left.
+			// Guards against requests to an endpoint 2065 ms after it has left.
 			name:   "but not for longer than endpoints that leave may get requests",
-			update: deployment.Update{Position: at(3), Whole: true, Regained: true, Source: deployment.SourceStore},
+			update: deployment.Update{Position: at(3), Whole: true, AfterOutage: true, Source: deployment.SourceStore},
 			wait:   drain - 100*time.Millisecond,
 		},
 		{
-			name:   "so is what a peer tells that has seen the outage",
+			name:   "so are those removed by a peer that has seen the outage",
 			update: deployment.Update{Items: []deployment.Item{removal("a", 3)}, Position: at(3), Lapsing: time.Second, Source: "n1"},
 			want:   []string{"a", "b"},
 		},
 		{
-			// Guards against this failure: a request reaches an endpoint that left long ago.
+			// Guards against requests to an endpoint that left long ago.
 			name:   "an entry that cannot be read names no endpoint, and the others hold",
 			update: deployment.Update{Items: []deployment.Item{entry("a", 3, "bad"), entry("c", 4, "bad")}, Position: at(4), Source: deployment.SourceStore},
 			want:   []string{"b"},
@@ -114,12 +114,12 @@
 			want:   []string{"b"},
 		},
 		{
-			name:   "an older reading says nothing",
+			name:   "an older full read is ignored",
 			update: deployment.Update{Position: at(1), Whole: true, Source: deployment.SourceStore},
 			want:   []string{"a", "b"},
 		},
 		{
-			name:   "an older item says nothing",
+			name:   "an older item is ignored",
 			update: deployment.Update{Items: []deployment.Item{removal("b", 2)}, Position: at(4), Source: deployment.SourceStore},
 			want:   []string{"a", "b"},
 		},
@@ -140,8 +140,8 @@
 	}
 }
 
-// A configuration is never replaced by an older one, whoever tells it.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A configuration is never replaced by an older one, whatever its source.
+func TestConfigurationIsNeverReplacedByOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}})
 		defer s.Close()
@@ -156,23 +156,24 @@
 	})
 }
 
-// Guards against this failure: a request reaches an endpoint 66 ms past the bound on its
-// leaving.
-func TestHeldRemovalLeavesTimeForTheNews(t *testing.T) {
+// Guards against requests to an endpoint 66 ms past the bound on its leaving: a
+// removal is held back, and takes time to propagate as well.
+func TestHeldRemovalLeavesTimeForPropagation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const drain, news = 2 * time.Second, 400 * time.Millisecond
+		const drain, delay = 2 * time.Second, 400 * time.Millisecond
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: drain})
 		defer s.Close()
-		s.Apply(t.Context(), deployment.Update{Items: []deployment.Item{entry("a", 1, "")}, Position: at(1), Whole: true, Regained: true, Source: deployment.SourceStore})
-		time.Sleep(news)
+		s.Apply(t.Context(), deployment.Update{Items: []deployment.Item{entry("a", 1, "")}, Position: at(1), Whole: true, AfterOutage: true, Source: deployment.SourceStore})
+		time.Sleep(delay)
 		s.Apply(t.Context(), deployment.Update{Items: []deployment.Item{removal("a", 2)}, Position: at(2), Source: "peer"})
-		time.Sleep(drain - news)
+		time.Sleep(drain - delay)
 		require.Empty(t, ids(s))
 	})
 }
 
-// Guards against this failure: some nodes go on sending to an endpoint whose entry was spoiled.
-func TestBadEntryIsHandedOnAndAGoodOneFollows(t *testing.T) {
+// Guards against nodes that keep sending requests to an endpoint whose entry was
+// overwritten with an invalid one, as they learn of it from peers only.
+func TestInvalidEntryPropagatesToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := deployment.NewState(deployment.StateConfig{Decoder: decoder{}})
 		defer reader.Close()
@@ -196,9 +197,9 @@
 	})
 }
 
-// Guards against this failure: a node that has just started sends requests to an endpoint that
-// left before its start.
-func TestOlderNewsBringsBackNothingThatAReadingLacked(t *testing.T) {
+// Guards against requests to an endpoint that left before the node's start: a
+// peer's older answer arrives after the full read.
+func TestOlderPeerUpdateDoesNotRestoreRemovedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
 		defer s.Close()
@@ -209,14 +210,15 @@
 	})
 }
 
-// Guards against this failure: requests reach endpoints whose entries are gone, two seconds
-// after the removal, minutes after an outage of the store.
-func TestTimeAfterAnOutageIsNotCountedAnewByEachNode(t *testing.T) {
+// Guards against requests to endpoints two seconds after the removal of their
+// entries, minutes after a store outage: every node would start the time for
+// holding removals back anew.
+func TestOutageWindowIsNotRestartedByEachNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entries := []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}
 		from := deployment.NewState(deployment.StateConfig{Decoder: decoder{}, Drain: 2 * time.Second})
 		defer from.Close()
-		from.Apply(t.Context(), deployment.Update{Items: entries, Position: at(2), Whole: true, Regained: true, Source: deployment.SourceStore})
+		from.Apply(t.Context(), deployment.Update{Items: entries, Position: at(2), Whole: true, AfterOutage: true, Source: deployment.SourceStore})
 		synctest.Wait()
 		for range 3 {
 			time.Sleep(time.Second)
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -79,8 +79,8 @@
 	// Sink takes what was read.
 	Sink interface {
 		Apply(ctx context.Context, u deployment.Update)
-		// Noted takes how the last call ended, or that none is made.
-		Noted(a deployment.Access)
+		// SetAccess takes how the last call ended, or that none is made.
+		SetAccess(a deployment.Access)
 		// Snapshot returns what is known.
 		Snapshot() *deployment.Snapshot
 	}
@@ -171,7 +171,7 @@
 		return false
 	}
 	if time.Since(cur.failed) > failMemory {
-		f.config.Sink.Noted(deployment.Resting)
+		f.config.Sink.SetAccess(deployment.NotReading)
 		cur.failures = 0
 	}
 	select {
@@ -277,7 +277,7 @@
 	}
 	failed := cur.failures > 0
 	f.regained(cur)
-	f.config.Sink.Apply(ctx, deployment.Update{Items: all, Position: at, Whole: true, Regained: failed, Source: deployment.SourceStore})
+	f.config.Sink.Apply(ctx, deployment.Update{Items: all, Position: at, Whole: true, AfterOutage: failed, Source: deployment.SourceStore})
 	cur.position, cur.fresh = at, true
 	return nil
 }
@@ -299,7 +299,7 @@
 }
 
 func (f *Follower) regained(cur *cursor) {
-	f.config.Sink.Noted(deployment.Reading)
+	f.config.Sink.SetAccess(deployment.Reading)
 	if cur.lost {
 		f.config.Log.Event("store.regained", decision.Fields{"failures": cur.failures, "epoch": cur.position.Epoch, "revision": cur.position.Revision})
 	}
@@ -313,7 +313,7 @@
 	cur.failures++
 	cur.fresh = false
 	cur.failed = time.Now()
-	f.config.Sink.Noted(deployment.Failing)
+	f.config.Sink.SetAccess(deployment.Failing)
 	if cur.failures >= refusals && !cur.lost {
 		cur.lost = true
 		f.config.Log.Event("store.lost", decision.Fields{"error": err.Error(), "epoch": cur.position.Epoch, "revision": cur.position.Revision})
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -134,7 +134,7 @@
 	s.updates = append(s.updates, u)
 }
 
-func (s *sink) Noted(a deployment.Access) {
+func (s *sink) SetAccess(a deployment.Access) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.access = a
@@ -215,7 +215,7 @@
 		follower := store.NewFollower(store.FollowerConfig{Source: f, Sink: s, Reads: always})
 		defer follower.Close()
 		time.Sleep(time.Second)
-		require.False(t, s.last().Regained)
+		require.False(t, s.last().AfterOutage)
 		f.set(func() { f.err = errDown })
 		time.Sleep(5 * time.Second)
 		f.set(func() { f.err = nil })
@@ -223,7 +223,7 @@
 		found := false
 		follower.Close()
 		for _, u := range s.updates {
-			found = found || (u.Regained && u.Whole)
+			found = found || (u.AfterOutage && u.Whole)
 		}
 		require.True(t, found)
 	})
