--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -1,5 +1,5 @@
 // Package store follows the platform's store: it reads everything once, then
-// watches for changes, and begins anew where the store has lost its history.
+// watches for changes, and starts over if the store has lost its history.
 package store
 
 import (
@@ -16,42 +16,42 @@
 )
 
 const (
-	// defaultBound is within what time a change must be in force where nothing
-	// says so.
+	// defaultBound is the time within which a change must be in force if the
+	// configuration does not say.
 	defaultBound = 2 * time.Second
 	// watchShare is the part of the bound for which the store may hold a watch
-	// open, and slackShare the part that its answer may come later: a store that
+	// open, and slackShare the part by which its answer may be late: a store that
 	// is ninety times slower than usual takes 0.4 s.
 	watchShare = 0.5
 	slackShare = 0.25
-	// watchJitter is the part of the wait that is drawn, so that the nodes'
-	// watches do not end together.
+	// watchJitter is the random part of the wait, so that the nodes' watches do not
+	// end together.
 	watchJitter = 0.2
-	// watchPause is how long a node waits after news before it watches again:
-	// changes often come in series, and one watch then tells several.
+	// watchPause is how long a node waits after a change before it watches again:
+	// changes often come in bursts, and one watch then returns several.
 	watchPause = 250 * time.Millisecond
-	// readTimeout bounds a read. The store answers within 4 ms, and 60 times
-	// slower on a bad day.
+	// readTimeout bounds a read. The store answers within 4 ms, and 60 times slower
+	// in bad cases.
 	readTimeout = 1500 * time.Millisecond
-	// firstRetry and longestRetry bound the pause after a failure; all nodes ask
-	// again within two seconds of the store's return, without a stampede.
-	firstRetry   = 150 * time.Millisecond
-	longestRetry = 1200 * time.Millisecond
-	// refusals is after how many failures in a row the store counts as lost.
-	refusals = 2
-	// restPoll is how often a node that does not read looks whether it should.
-	restPoll = 100 * time.Millisecond
-	// failMemory is how long a node that has stopped reading after a failure
-	// says so, and leaves the reading to others.
-	failMemory = 5 * time.Second
+	// minRetry and maxRetry bound the pause after a failure: all nodes retry within
+	// two seconds of the store's return, but not all at once.
+	minRetry = 150 * time.Millisecond
+	maxRetry = 1200 * time.Millisecond
+	// lostAfter is how many failures in a row make the store count as lost.
+	lostAfter = 2
+	// roleCheck is how often a node that does not read checks whether it should.
+	roleCheck = 100 * time.Millisecond
+	// failHold is how long a node that has stopped reading after a failure reports
+	// so, and leaves the reading to others.
+	failHold = 5 * time.Second
 )
 
 var (
-	// ErrCompacted is returned by a Source that no longer has the history asked
-	// for.
+	// ErrCompacted is returned by a Source that no longer has the requested
+	// history.
 	ErrCompacted = errors.New("store: history is gone")
-	// ErrOutdated is returned where the store answers from an earlier epoch than
-	// is known.
+	// ErrOutdated is returned if the store answers from an earlier epoch than the
+	// known one.
 	ErrOutdated = errors.New("store: outdated answer")
 )
 
@@ -59,10 +59,10 @@
 	// Source reads the store. Its errors are those of the network, statuses
 	// other than success, and ErrCompacted.
 	Source interface {
-		// Range returns one page of all items, from the one after a key on.
+		// Range returns one page of all items, starting after a key.
 		Range(ctx context.Context, after string) (Page, error)
-		// Watch returns the changes after a revision as soon as there is one,
-		// or none after the wait.
+		// Watch returns the changes after a revision as soon as there are any, or
+		// none after the wait.
 		Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error)
 	}
 
@@ -71,17 +71,17 @@
 		Items []deployment.Item
 		// More says that another page follows after the last item.
 		More bool
-		// Position is the store's of the answer. Beside ErrCompacted its epoch is
-		// set alone.
+		// Position is the store's at the answer. With ErrCompacted, only its epoch
+		// is set.
 		deployment.Position
 	}
 
-	// Sink takes what was read.
+	// Sink receives what was read.
 	Sink interface {
 		Apply(ctx context.Context, u deployment.Update)
-		// SetAccess takes how the last call ended, or that none is made.
+		// SetAccess records how the last call ended, or that none is made.
 		SetAccess(a deployment.Access)
-		// Snapshot returns what is known.
+		// Snapshot returns the known state.
 		Snapshot() *deployment.Snapshot
 	}
 
@@ -89,13 +89,13 @@
 	FollowerConfig struct {
 		Source Source
 		Sink   Sink
-		// Reads reports whether this node is one of the few that read the
-		// store and tell the others.
+		// Reads reports whether this node is one of the few that read the store and
+		// propagate its changes to the others.
 		Reads func() bool
-		// Bound is within what time a change must be in force, 0 for two
+		// Bound is the time within which a change must be in force, 0 for two
 		// seconds.
 		Bound time.Duration
-		// Metrics counts calls; nil for nowhere.
+		// Metrics counts calls; it may be nil.
 		Metrics *Metrics
 		Log     *decision.Log
 	}
@@ -109,22 +109,22 @@
 		running sync.WaitGroup
 	}
 
-	// cursor is what the follower's goroutine knows.
+	// cursor is the state of the follower's goroutine.
 	cursor struct {
-		// position is that of the last answer that was taken, and epoch that of the
-		// last answer.
+		// position is that of the last answer that was applied, and epoch that of
+		// the last answer.
 		position deployment.Position
 		epoch    uint64
 		fresh    bool
-		// discarded is how many watches in a row had no history.
-		discarded int
+		// compacted is how many watches in a row had no history.
+		compacted int
 		failures  int
 		lost      bool
 		failed    time.Time
 	}
 )
 
-// NewFollower starts to follow.
+// NewFollower starts a Follower.
 func NewFollower(c FollowerConfig) *Follower {
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics()
@@ -134,7 +134,7 @@
 	f.running.Go(func() {
 		cur := &cursor{}
 		for ctx.Err() == nil {
-			if f.rests(ctx, cur) {
+			if f.waitUnlessReader(ctx, cur) {
 				continue
 			}
 			err := f.step(ctx, cur)
@@ -146,7 +146,8 @@
 	return f
 }
 
-// Read makes the node read the store once, though others should tell it.
+// Read makes the node read the whole store once, also if others read it for this
+// node.
 func (f *Follower) Read() {
 	select {
 	case f.wake <- struct{}{}:
@@ -160,17 +161,17 @@
 	f.running.Wait()
 }
 
-// rests waits a little where others read the store for this node, and reports
-// whether it has. A node that knows nothing yet reads for itself.
+// waitUnlessReader waits for roleCheck if others read the store for this node, and
+// reports whether it did. A node that knows nothing yet reads for itself.
 //
-// So does one that has failed once: watches may hang while the store answers
-// readings. Were it to rest, the next nodes would fail in the same way, and one
-// would see all of them serve an old configuration while nobody reads.
-func (f *Follower) rests(ctx context.Context, cur *cursor) bool {
+// So does one that has failed once: watches may hang while the store answers reads.
+// If it stopped reading then, the next readers would fail in the same way, and all
+// of them would serve an old configuration while no node reads.
+func (f *Follower) waitUnlessReader(ctx context.Context, cur *cursor) bool {
 	if f.config.Reads() || f.config.Sink.Snapshot().IsZero() || cur.failures == 1 {
 		return false
 	}
-	if time.Since(cur.failed) > failMemory {
+	if time.Since(cur.failed) > failHold {
 		f.config.Sink.SetAccess(deployment.NotReading)
 		cur.failures = 0
 	}
@@ -178,7 +179,7 @@
 	case <-f.wake:
 		cur.fresh = false
 		return false
-	case <-time.After(restPoll):
+	case <-time.After(roleCheck):
 	case <-ctx.Done():
 	}
 	return true
@@ -194,20 +195,20 @@
 		return f.read(ctx, cur)
 	}
 	cur.position = deployment.Later(cur.position, f.config.Sink.Snapshot().Position)
-	wait := f.wait()
-	limited, cancel := context.WithTimeout(ctx, wait+f.part(slackShare))
+	wait := f.watchTime()
+	limited, cancel := context.WithTimeout(ctx, wait+f.shareOfBound(slackShare))
 	defer cancel()
 	page, err := f.config.Source.Watch(limited, cur.position.Revision, wait)
-	f.config.Metrics.watches.note(err)
+	f.config.Metrics.watches.count(err)
 	if err != nil && !errors.Is(err, ErrCompacted) {
 		return err
 	}
 	f.noteEpoch(cur, page)
 	if err != nil || page.Epoch != cur.position.Epoch {
-		f.begin(ctx, cur, page)
+		f.restart(ctx, cur, page)
 		return nil
 	}
-	cur.discarded = 0
+	cur.compacted = 0
 	f.regained(cur)
 	f.config.Sink.Apply(ctx, deployment.Update{Items: page.Items, Position: page.Position, Source: deployment.SourceStore})
 	cur.position = deployment.Later(cur.position, page.Position)
@@ -217,44 +218,44 @@
 	return nil
 }
 
-// begin makes the next call a reading of everything: the store has lost its
-// history, or was restored from a copy, after which revisions name other changes.
+// restart makes the next call a full read: the store has lost its history, or was
+// restored from a copy, after which revisions name other changes.
 //
-// A store that discards its history again and again is read with pauses between.
-func (f *Follower) begin(ctx context.Context, cur *cursor, page Page) {
+// A store that discards its history again and again is read with pauses in between.
+func (f *Follower) restart(ctx context.Context, cur *cursor, page Page) {
 	f.config.Log.Event("store.compacted", decision.Fields{"epoch": cur.position.Epoch, "revision": cur.position.Revision, "answered": page.Epoch})
 	cur.fresh = false
-	if cur.discarded > 0 {
-		pause(ctx, backoff(cur.discarded))
+	if cur.compacted > 0 {
+		pause(ctx, backoff(cur.compacted))
 	}
-	cur.discarded++
+	cur.compacted++
 }
 
-// wait draws how long the store may hold the next watch open.
+// watchTime draws how long the store may hold the next watch open.
 //
-// A watch may never be told of changes, and nothing shows it but its end. Where
-// the store falls silent to the few nodes that read it, and to none of the
-// others, nobody would hear of changes. These nodes must notice soon enough for
-// another one to read and tell the rest.
-func (f *Follower) wait() time.Duration {
-	wait := f.part(watchShare)
+// A watch may miss all changes, and only its end shows that. If the store stops
+// answering the few nodes that read it, and none of the others, no node would learn
+// of changes. The readers must notice soon enough for another node to read and to
+// send the changes to the rest.
+func (f *Follower) watchTime() time.Duration {
+	wait := f.shareOfBound(watchShare)
 	return wait - time.Duration(rand.Float64()*watchJitter*float64(wait))
 }
 
-// part is a part of the bound.
-func (f *Follower) part(share float64) time.Duration {
+// shareOfBound returns a part of the bound.
+func (f *Follower) shareOfBound(share float64) time.Duration {
 	return time.Duration(share * float64(cmp.Or(f.config.Bound, defaultBound)))
 }
 
-// read takes everything, page by page. The pages are no snapshot; the watch
-// goes on from the first page's revision, so that nothing between is missed.
+// read reads everything, page by page. The pages are no snapshot; the watch
+// continues from the first page's revision, so that no change in between is missed.
 func (f *Follower) read(ctx context.Context, cur *cursor) error {
 	var all []deployment.Item
 	var at deployment.Position
 	after := ""
 	for {
 		page, err := f.page(ctx, after)
-		f.config.Metrics.readings.note(err)
+		f.config.Metrics.reads.count(err)
 		if err != nil {
 			return err
 		}
@@ -306,24 +307,24 @@
 	cur.failures, cur.lost = 0, false
 }
 
-// failed waits before the next try, which reads everything anew: entries may
-// have lapsed meanwhile, and a reading fails within its short timeout where a
-// watch of a silent store would hang for seconds after the store's return.
+// failed waits before the next try, which is a full read: entries may have lapsed
+// meanwhile, and a read fails within its short timeout where a watch of an
+// unresponsive store would hang for seconds after the store's return.
 func (f *Follower) failed(ctx context.Context, cur *cursor, err error) {
 	cur.failures++
 	cur.fresh = false
 	cur.failed = time.Now()
 	f.config.Sink.SetAccess(deployment.Failing)
-	if cur.failures >= refusals && !cur.lost {
+	if cur.failures >= lostAfter && !cur.lost {
 		cur.lost = true
 		f.config.Log.Event("store.lost", decision.Fields{"error": err.Error(), "epoch": cur.position.Epoch, "revision": cur.position.Revision})
 	}
 	pause(ctx, backoff(cur.failures))
 }
 
-// backoff draws the pause after some failures in a row.
+// backoff draws the pause after a number of failures in a row.
 func backoff(failures int) time.Duration {
-	most := min(firstRetry<<min(failures-1, 3), longestRetry)
+	most := min(minRetry<<min(failures-1, 3), maxRetry)
 	return most/2 + rand.N(most/2)
 }
 
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -19,14 +19,14 @@
 	// fakeStore is a store in virtual time.
 	fakeStore struct {
 		mu sync.Mutex
-		// deaf watches are never told of changes.
+		// deaf watches return no changes that are made while they wait.
 		deaf bool
-		// mute calls are not answered at all, and hung watches neither.
-		mute     bool
-		hung     bool
-		err      error
-		epoch    uint64
-		revision uint64
+		// An unresponsive store answers no calls, a hung one no watches.
+		unresponsive bool
+		hung         bool
+		err          error
+		epoch        uint64
+		revision     uint64
 		// oldest is the oldest revision that can be watched from.
 		oldest uint64
 		items  []deployment.Item
@@ -34,10 +34,10 @@
 	}
 
 	sink struct {
-		mu      sync.Mutex
-		updates []deployment.Update
-		touched int
-		access  deployment.Access
+		mu        sync.Mutex
+		updates   []deployment.Update
+		confirmed int
+		access    deployment.Access
 	}
 )
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// at is the store's position; the mutex must be held.
+// at returns the store's position; the mutex must be held.
 func (f *fakeStore) at() deployment.Position {
 	return deployment.Position{Epoch: f.epoch, Revision: f.revision}
 }
@@ -95,7 +95,7 @@
 func (f *fakeStore) silent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.mute
+	return f.unresponsive
 }
 
 func (f *fakeStore) hangs() bool {
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	s.access = a
 	if a == deployment.Reading {
-		s.touched++
+		s.confirmed++
 	}
 }
 
@@ -147,14 +147,14 @@
 	return &deployment.Snapshot{Position: s.last().Position}
 }
 
-func (s *sink) answered() int {
+func (s *sink) confirmations() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.touched
+	return s.confirmed
 }
 
-// readings returns how many updates said that they were everything.
-func (s *sink) readings() int {
+// fullReads returns how many updates were full reads.
+func (s *sink) fullReads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -175,8 +175,9 @@
 	return s.updates[len(s.updates)-1]
 }
 
-// Guards against this failure: a node answers 404 for a route that was added five seconds ago.
-func TestWatchThatHearsNothingIsAskedAnewWithinSeconds(t *testing.T) {
+// Guards against a node that answers 404 for a route added five seconds ago, as its
+// watch missed the change: watches must end and be renewed.
+func TestWatchWithoutChangesIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{revision: 10, deaf: true}
 		s := &sink{}
@@ -192,9 +193,9 @@
 	})
 }
 
-// Most nodes read once, and are then told by the few that go on; a node that
-// cannot be told reads for itself.
-func TestOtherNodesRest(t *testing.T) {
+// Most nodes read once, and then get changes from the few that keep reading; a node
+// that peers cannot update reads for itself.
+func TestNonReadersReadOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{revision: 10}
 		follower := store.NewFollower(store.FollowerConfig{Source: f, Sink: &sink{}, Reads: never})
@@ -207,8 +208,9 @@
 	})
 }
 
-// Guards against this failure: no endpoint is known for seconds after an outage of the store.
-func TestReadingAfterAnOutageSaysSo(t *testing.T) {
+// Guards against a node that knows no endpoint for seconds after a store outage, in
+// which entries lapse: the next full read must say that there was one.
+func TestReadAfterOutageIsFlagged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{revision: 10}
 		s := &sink{}
@@ -229,9 +231,9 @@
 	})
 }
 
-// Guards against this failure: a node follows the store again only three seconds after the
-// store's return from a silent outage, while its peers do at once.
-func TestSilentStoreIsFoundBackSoon(t *testing.T) {
+// Guards against a node that follows the store again only three seconds after an
+// outage in which calls went unanswered, while its peers do at once.
+func TestFollowerRecoversAfterSilentOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &silentStore{}
 		s := &sink{}
@@ -241,13 +243,14 @@
 		f.silent.Store(true)
 		time.Sleep(60 * time.Second)
 		f.silent.Store(false)
-		before := s.answered()
+		before := s.confirmations()
 		time.Sleep(3 * time.Second)
-		require.Greater(t, s.answered(), before)
+		require.Greater(t, s.confirmations(), before)
 	})
 }
 
-// silentStore answers nothing while it is silent: calls made then hang for good.
+// silentStore answers nothing while it is silent: calls made then hang until they
+// are canceled.
 type silentStore struct{ silent atomic.Bool }
 
 func (f *silentStore) Range(ctx context.Context, _ string) (store.Page, error) {
@@ -267,17 +270,18 @@
 	return store.Page{Position: deployment.Position{Revision: 1}}, nil
 }
 
-// Guards against this failure: a request reaches an endpoint 2.15 s after its leave was
-// accepted, where 2 s are allowed.
-func TestSilentWatchIsNoticedWithinTheBound(t *testing.T) {
+// Guards against a request to an endpoint 2.15 s after its leave was accepted,
+// where 2 s are allowed: a hung watch must fail early enough for another node to
+// read.
+func TestHungWatchIsDetectedWithinBound(t *testing.T) {
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			source, s := &fakeStore{revision: 1, items: []deployment.Item{{Key: "a", Revision: 1}}}, &sink{}
 			f := store.NewFollower(store.FollowerConfig{Source: source, Sink: s, Reads: always, Bound: bound})
 			defer f.Close()
 			time.Sleep(time.Second)
-			source.set(func() { source.mute = true })
-			// A fifth of the bound is left for another node to read and tell.
+			source.set(func() { source.unresponsive = true })
+			// A fifth of the bound is left for another node to read and propagate.
 			time.Sleep(bound * 4 / 5)
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -286,9 +290,9 @@
 	}
 }
 
-// Guards against this failure: all nodes serve an old configuration for five seconds, and the
-// store answers.
-func TestNodeWhoseWatchHangsReadsBeforeItRests(t *testing.T) {
+// Guards against all nodes serving an old configuration for five seconds though the
+// store answers reads: one after the other stops reading after its watch hangs.
+func TestNodeReadsOnceMoreAfterHungWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 2 * time.Second
 		source, s := &fakeStore{revision: 1, items: []deployment.Item{{Key: "a", Revision: 1}}}, &sink{}
@@ -309,17 +313,17 @@
 	})
 }
 
-// Guards against this failure: a node that reads the store goes on with what it knows, though
-// others know something else.
-func TestNodeThatFollowsReadsAnewWhenTold(t *testing.T) {
+// Guards against a reader that keeps its state though other nodes have a different
+// one.
+func TestReadForcesFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, s := &fakeStore{revision: 1}, &sink{}
 		f := store.NewFollower(store.FollowerConfig{Source: source, Sink: s, Reads: always})
 		defer f.Close()
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 1, s.readings())
+		require.Equal(t, 1, s.fullReads())
 		f.Read()
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 2, s.readings())
+		require.Equal(t, 2, s.fullReads())
 	})
 }
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -13,14 +13,14 @@
 type (
 	// Metrics counts a node's calls to the store.
 	Metrics struct {
-		set      *metrics.Set
-		readings calls
-		watches  calls
+		set     *metrics.Set
+		reads   calls
+		watches calls
 		// epoch is that of the store's last answer.
 		epoch *metrics.Gauge
 	}
 
-	// calls are those of one kind, by their result.
+	// calls counts the calls of one kind by result.
 	calls struct{ answered, compacted, failed *metrics.Counter }
 )
 
@@ -28,7 +28,7 @@
 func NewMetrics() *Metrics {
 	s := metrics.NewSet()
 	return &Metrics{
-		set: s, readings: newCalls(s, "range"), watches: newCalls(s, "watch"),
+		set: s, reads: newCalls(s, "range"), watches: newCalls(s, "watch"),
 		epoch: s.NewGauge(metricPrefix+"epoch", nil),
 	}
 }
@@ -43,7 +43,7 @@
 // Write writes all metrics as text.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
 
-func (c calls) note(err error) {
+func (c calls) count(err error) {
 	switch {
 	case err == nil:
 		c.answered.Inc()
--- a/internal/store/restore_test.go
+++ b/internal/store/restore_test.go
@@ -12,7 +12,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/store"
 )
 
-// pages answers readings with its pages, one after the other, and no watch.
+// pages answers Range with its pages, one after the other, and never answers Watch.
 type pages struct {
 	list  []store.Page
 	calls int
@@ -35,17 +35,17 @@
 	return deployment.Position{Epoch: epoch, Revision: revision}
 }
 
-// Guards against changes of a restored store that are never told, since their
-// revisions are at or below the one that is watched from.
-func TestRestoredStoreIsReadAnew(t *testing.T) {
+// Guards against missing changes of a restored store, since their revisions are at
+// or below the one that is watched from.
+func TestRestoredStoreIsReread(t *testing.T) {
 	cases := []struct {
 		name string
-		// revision is the store's once it is back; the follower knows 10.
+		// revision is the store's after the restore; the follower knows 10.
 		revision uint64
 	}{
-		{name: "it does not have the revision watched from", revision: 7},
-		{name: "it has given it out again", revision: 10},
-		{name: "it is past it", revision: 14},
+		{name: "it lacks the revision watched from", revision: 7},
+		{name: "it has reused that revision", revision: 10},
+		{name: "its revision is higher", revision: 14},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,15 +62,15 @@
 				time.Sleep(2 * time.Second)
 				require.Equal(t, deployment.Update{
 					Items: []deployment.Item{{Key: "b", Revision: 6}}, Position: in(2, c.revision), Whole: true, Source: deployment.SourceStore,
-				}, s.newestReading())
+				}, s.lastFullRead())
 				require.Less(t, f.count(), 12)
 			})
 		})
 	}
 }
 
-// newestReading returns the newest update that was everything.
-func (s *sink) newestReading() deployment.Update {
+// lastFullRead returns the newest full read.
+func (s *sink) lastFullRead() deployment.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.updates) - 1; i >= 0; i-- {
@@ -81,8 +81,9 @@
 	return deployment.Update{}
 }
 
-// Guards against a reading that mixes what was before a restore with what is after.
-func TestPagesOfTwoEpochsAreNotMixed(t *testing.T) {
+// Guards against a full read that merges items from before a restore with those
+// from after it.
+func TestPagesOfTwoEpochsAreNotMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		page := func(epoch, revision uint64, more bool, key string) store.Page {
 			return store.Page{Items: []deployment.Item{{Key: key, Revision: 1}}, Position: in(epoch, revision), More: more}
@@ -95,13 +96,13 @@
 		time.Sleep(time.Second)
 		require.Equal(t, deployment.Update{
 			Items: []deployment.Item{{Key: "a", Revision: 1}, {Key: "b", Revision: 1}}, Position: in(2, 5), Whole: true, Source: deployment.SourceStore,
-		}, s.newestReading())
+		}, s.lastFullRead())
 	})
 }
 
-// Guards against a follower that watches the old epoch from the revision that a
-// peer told of the new one.
-func TestEpochThatAPeerToldIsGoneOnWith(t *testing.T) {
+// Guards against a follower that watches the old epoch from a revision of the new
+// one, which a peer reported.
+func TestEpochReportedByPeerIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{epoch: 1, revision: 10}
 		s := &sink{}
@@ -128,9 +129,9 @@
 	return newest
 }
 
-// Guards against dozens of calls a second where the store refuses all watches, or
-// answers from an epoch that is over.
-func TestStoreWithoutHistoryIsCalledWithPauses(t *testing.T) {
+// Guards against dozens of calls a second to a store that refuses all watches, or
+// answers from an earlier epoch.
+func TestStoreWithoutHistoryIsCalledWithBackoff(t *testing.T) {
 	cases := []struct {
 		name string
 		set  func(f *fakeStore, s *sink)
