--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the kernel's plug-in for the configuration in force.
+// Package config is the kernel plug-in that keeps the configuration in force.
 package config
 
 import (
@@ -12,21 +12,21 @@
 	// DefaultHold is the Hold of a node that has peers.
 	DefaultHold = 1500 * time.Millisecond
 
-	// heardHolds is how many Holds a starting node waits for a revision that a
-	// peer told of.
-	heardHolds = 4
-	// fetchPause is the time between two fetches, so that a change of which
-	// many peers tell at once is fetched once.
+	// reportedHolds is how many Holds a starting node waits for a revision that a
+	// peer reported.
+	reportedHolds = 4
+	// fetchPause is the time between two fetches, so that a change that many peers
+	// report at once is fetched once.
 	fetchPause = 300 * time.Millisecond
-	// failPause is how long a peer that did not deliver is not asked again.
-	failPause = 2 * time.Second
+	// failBackoff is how long a peer that failed to deliver is not asked again.
+	failBackoff = 2 * time.Second
 )
 
 type (
 	// Config is the settings of the plug-in.
 	Config struct {
-		// Hold is how long a starting node waits to hear from a peer before it
-		// puts its first revision in force; 0 is not at all.
+		// Hold is how long a starting node waits for a peer's heartbeat before it
+		// puts its first revision in force; 0 for not at all.
 		Hold time.Duration
 	}
 
@@ -37,9 +37,9 @@
 		self     string
 		manifest *manifest.Manifest
 		leaving  bool
-		start    start
-		// offer is the newest revision that a peer told of, fetched when one
-		// was last fetched.
+		startup  startup
+		// offer is the newest revision that a peer reported, and fetched when the
+		// last fetch was started.
 		offer   kernel.FetchConfig
 		fetched time.Time
 		failed  map[string]time.Time
@@ -48,15 +48,15 @@
 		conflict string
 	}
 
-	// start is the state of a node that has no revision in force.
-	start struct {
+	// startup is the state of a node that has no revision in force.
+	startup struct {
 		// held is the newest accepted revision, not yet in force.
 		held  *manifest.Manifest
 		since time.Time
-		// heard is the highest revision that a peer told of.
-		heard   uint64
-		answers bool
-		// alone is set where the platform's list names no other node.
+		// reported is the highest revision that a peer reported.
+		reported uint64
+		peerSeen bool
+		// alone is set if the platform's list names no other node.
 		alone bool
 	}
 )
@@ -71,21 +71,21 @@
 	}, kernel.PriorityConfig)
 }
 
-// Handle puts a higher accepted revision in force and asks peers for revisions
-// that they have and the node has not.
+// Handle puts a higher accepted revision in force and fetches revisions that peers
+// have and the node lacks.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case kernel.Accepted:
 		p.accept(now, ev.Manifest, out)
 	case kernel.Instances:
-		p.start.alone = !namesOther(ev.List, p.self)
-		p.release(now, out)
+		p.startup.alone = !hasOtherNode(ev.List, p.self)
+		p.activateHeld(now, out)
 	case kernel.BeatReceived:
-		p.hear(now, ev.Beat, out)
+		p.receive(now, ev.Beat, out)
 	case kernel.ConfigFailed:
 		p.failed[ev.Node] = now
 	case kernel.Tick:
-		p.release(now, out)
+		p.activateHeld(now, out)
 		p.fetch(now, out)
 	case kernel.Drain:
 		p.leaving = true
@@ -93,14 +93,14 @@
 	}
 }
 
-// Publish writes the configuration in force.
+// Publish writes the configuration in force to the view.
 func (p *plugin) Publish(_ time.Time, v *kernel.View) {
 	v.Manifest = p.manifest
 	v.Leaving = p.leaving
 	v.Conflict = p.conflict
 }
 
-// Beat tells peers the revision in force and whether the node is leaving.
+// Beat sends peers the revision in force and whether the node is leaving.
 func (p *plugin) Beat(_ time.Time, _ string, b *kernel.Beat) {
 	b.Leaving = p.leaving
 	b.Revision = p.revision()
@@ -112,85 +112,85 @@
 // Dump shows the revision in force.
 func (p *plugin) Dump(time.Time) (name string, state any) {
 	var held uint64
-	if p.start.held != nil {
-		held = p.start.held.Revision
+	if p.startup.held != nil {
+		held = p.startup.held.Revision
 	}
 	return "config", map[string]any{
-		"revision": p.revision(), "leaving": p.leaving, "heard": p.start.heard, "held": held, "conflict": p.conflict,
+		"revision": p.revision(), "leaving": p.leaving, "heard": p.startup.reported, "held": held, "conflict": p.conflict,
 	}
 }
 
 // accept puts a revision in force, or holds it while the node starts.
 //
-// A stale platform or a late peer may bring an older revision after a newer
-// one; operators would notice settings that revert. Only a higher revision
-// replaces the one in force, so the order of arrival does not matter.
+// A stale platform or a slow peer may deliver an older revision after a newer one;
+// operators would see settings revert. Only a higher revision replaces the one in
+// force, so the order of arrival does not matter.
 func (p *plugin) accept(now time.Time, m *manifest.Manifest, out *kernel.Output) {
 	if p.manifest != nil {
 		if m.Revision > p.manifest.Revision {
-			p.force(m, out)
+			p.activate(m, out)
 		}
 		return
 	}
-	if p.start.held == nil {
-		p.start.since = now
+	if p.startup.held == nil {
+		p.startup.since = now
 	}
-	if p.start.held == nil || m.Revision > p.start.held.Revision {
-		p.start.held = m
+	if p.startup.held == nil || m.Revision > p.startup.held.Revision {
+		p.startup.held = m
 	}
-	p.release(now, out)
+	p.activateHeld(now, out)
 }
 
-// release puts the held revision in force once the node may.
+// activateHeld puts the held revision in force once that is safe.
 //
-// A node that restarts against a stale platform reads an old revision. If it
-// came into force, settings would revert on this node until a peer tells of the
-// newer one. The node therefore first hears from a peer, unless it has none or
-// none answers within Hold. One that heard of a newer revision waits longer, but
-// not for ever: the peer may be gone.
-func (p *plugin) release(now time.Time, out *kernel.Output) {
-	s := &p.start
+// A node that restarts against a stale platform reads an old revision. If it came
+// into force, settings would revert on this node until a peer reports the newer
+// one. The node therefore waits for a peer's heartbeat, unless it has no peers or
+// none answers within Hold. If a peer reports a newer revision, the node waits
+// longer, but not forever: the peer may be dead.
+func (p *plugin) activateHeld(now time.Time, out *kernel.Output) {
+	s := &p.startup
 	if p.manifest != nil || s.held == nil {
 		return
 	}
 	hold := p.config.Hold
-	if s.heard > s.held.Revision {
-		hold *= heardHolds
+	if s.reported > s.held.Revision {
+		hold *= reportedHolds
 	}
-	current := s.answers && s.held.Revision >= s.heard
+	current := s.peerSeen && s.held.Revision >= s.reported
 	if current || s.alone || now.Sub(s.since) >= hold {
-		p.force(s.held, out)
+		p.activate(s.held, out)
 	}
 }
 
-// force puts a revision in force and lets the peers hear of it at once: at one
-// heartbeat a second, a change that crosses cells and regions would not be
-// everywhere in time.
-func (p *plugin) force(m *manifest.Manifest, out *kernel.Output) {
+// activate puts a revision in force and sends a heartbeat to the peers at once: at
+// one heartbeat a second, a change that crosses cells and regions would not reach
+// every node in time.
+func (p *plugin) activate(m *manifest.Manifest, out *kernel.Output) {
 	p.manifest = m
-	p.start.held = nil
+	p.startup.held = nil
 	p.conflict = ""
 	clear(p.failed)
 	out.Raise(kernel.Urgent{})
 	out.Changed()
 }
 
-func (p *plugin) hear(now time.Time, b *kernel.Beat, out *kernel.Output) {
-	p.start.answers = true
-	p.start.heard = max(p.start.heard, b.Revision)
-	p.release(now, out)
+func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
+	p.startup.peerSeen = true
+	p.startup.reported = max(p.startup.reported, b.Revision)
+	p.activateHeld(now, out)
 	p.compare(b, out)
-	if b.Revision >= p.offer.Revision && !p.failing(now, b.Node) {
+	if b.Revision >= p.offer.Revision && !p.recentlyFailed(now, b.Node) {
 		p.offer = kernel.FetchConfig{Node: b.Node, Revision: b.Revision}
 	}
 	p.fetch(now, out)
 }
 
-// compare notices a peer that has another manifest of the same revision.
+// compare detects a peer that has another manifest of the same revision.
 //
-// Where operators accept two manifests under one number, each node keeps the
-// one it met first, and the fleet would go on with two configurations without a
-// word. Neither is above the other, so neither gives way; operators are told.
+// If operators accept two manifests under one number, each node keeps the one it
+// got first, and the fleet would run two configurations unnoticed. Neither is
+// newer, so neither replaces the other; the conflict is shown to operators.
 func (p *plugin) compare(b *kernel.Beat, out *kernel.Output) {
 	if p.manifest == nil || b.Revision != p.manifest.Revision || b.Print == 0 || p.conflict != "" {
 		return
@@ -201,14 +201,14 @@
 	}
 }
 
-// fetch asks for the revision that a peer offers. Where changes follow each
-// other closely, it comes with the first tick after the pause: the peer's next
-// heartbeat may be a second away.
+// fetch requests the revision that a peer offers. If changes follow each other
+// closely, the next one is requested at the first tick after the pause: the peer's
+// next heartbeat may be a second away.
 func (p *plugin) fetch(now time.Time, out *kernel.Output) {
-	if p.offer.Revision <= p.known() || now.Sub(p.fetched) < fetchPause {
+	if p.offer.Revision <= p.highestHeld() || now.Sub(p.fetched) < fetchPause {
 		return
 	}
-	if p.failing(now, p.offer.Node) {
+	if p.recentlyFailed(now, p.offer.Node) {
 		p.offer = kernel.FetchConfig{}
 		return
 	}
@@ -216,10 +216,11 @@
 	out.Do(p.offer)
 }
 
-// failing reports whether a peer did not deliver of late.
-func (p *plugin) failing(now time.Time, node string) bool {
+// recentlyFailed reports whether a peer failed to deliver within the last
+// failBackoff.
+func (p *plugin) recentlyFailed(now time.Time, node string) bool {
 	failed, ok := p.failed[node]
-	return ok && now.Sub(failed) < failPause
+	return ok && now.Sub(failed) < failBackoff
 }
 
 func (p *plugin) revision() uint64 {
@@ -229,15 +230,15 @@
 	return p.manifest.Revision
 }
 
-// known returns the highest revision that the node holds.
-func (p *plugin) known() uint64 {
-	if p.start.held != nil {
-		return p.start.held.Revision
+// highestHeld returns the highest revision that the node holds.
+func (p *plugin) highestHeld() uint64 {
+	if p.startup.held != nil {
+		return p.startup.held.Revision
 	}
 	return p.revision()
 }
 
-func namesOther(list []kernel.Instance, self string) bool {
+func hasOtherNode(list []kernel.Instance, self string) bool {
 	for _, i := range list {
 		if i.Kind == kernel.KindNode && i.Name != self {
 			return true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,7 +35,7 @@
 	return kernel.Accepted{Manifest: &manifest.Manifest{Revision: revision}}
 }
 
-func beat(from string, revision uint64) kernel.BeatReceived {
+func heartbeat(from string, revision uint64) kernel.BeatReceived {
 	return kernel.BeatReceived{Beat: &kernel.Beat{Node: from, Revision: revision}}
 }
 
@@ -60,7 +60,8 @@
 }
 
 func TestStartAgainstStalePlatform(t *testing.T) {
-	// Guards against this failure: settings revert for a moment on a node that restarted.
+	// Guards against settings that revert for a moment on a node that restarted
+	// against a platform with an old revision.
 	for _, c := range []struct {
 		name   string
 		events []kernel.Event
@@ -71,12 +72,12 @@
 		{"no peer answers", []kernel.Event{peers, accepted(6)}, hold, 6},
 		{"no other node", []kernel.Event{alone, accepted(6)}, 0, 6},
 		{"no other node, list later", []kernel.Event{accepted(6), alone}, 0, 6},
-		{"peer has the same", []kernel.Event{peers, accepted(6), beat("n2", 6)}, 0, 6},
-		{"peer has less", []kernel.Event{peers, beat("n2", 0), accepted(6)}, 0, 6},
-		{"peer has more", []kernel.Event{peers, accepted(6), beat("n2", 7)}, hold, 0},
-		{"peer delivers more", []kernel.Event{peers, accepted(6), beat("n2", 7), accepted(7)}, 0, 7},
-		{"peer delivers first", []kernel.Event{peers, beat("n2", 7), accepted(7), accepted(6)}, 0, 7},
-		{"peer never delivers", []kernel.Event{peers, accepted(6), beat("n2", 7)}, 4 * hold, 6},
+		{"peer has the same", []kernel.Event{peers, accepted(6), heartbeat("n2", 6)}, 0, 6},
+		{"peer has less", []kernel.Event{peers, heartbeat("n2", 0), accepted(6)}, 0, 6},
+		{"peer has more", []kernel.Event{peers, accepted(6), heartbeat("n2", 7)}, hold, 0},
+		{"peer delivers more", []kernel.Event{peers, accepted(6), heartbeat("n2", 7), accepted(7)}, 0, 7},
+		{"peer delivers first", []kernel.Event{peers, heartbeat("n2", 7), accepted(7), accepted(6)}, 0, 7},
+		{"peer never delivers", []kernel.Event{peers, accepted(6), heartbeat("n2", 7)}, 4 * hold, 6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := newKernel(hold)
@@ -92,37 +93,39 @@
 func TestHigherRevisionIsFetchedFromPeer(t *testing.T) {
 	k := newKernel(0)
 	k.Step(start, accepted(6))
-	require.Empty(t, k.Step(start, beat("n2", 6)))
+	require.Empty(t, k.Step(start, heartbeat("n2", 6)))
 	want := []kernel.Action{kernel.FetchConfig{Node: "n2", Revision: 7}}
-	require.Equal(t, want, k.Step(start, beat("n2", 7)))
-	require.Empty(t, k.Step(start, beat("n3", 7)), "one change is fetched once")
+	require.Equal(t, want, k.Step(start, heartbeat("n2", 7)))
+	require.Empty(t, k.Step(start, heartbeat("n3", 7)), "one change is fetched once")
 	now := start.Add(time.Second)
 	k.Step(now, kernel.ConfigFailed{Node: "n2"})
 	want = []kernel.Action{kernel.FetchConfig{Node: "n3", Revision: 7}}
-	require.Equal(t, want, k.Step(now, beat("n2", 7)), "the other peer that told of it is asked")
+	require.Equal(t, want, k.Step(now, heartbeat("n2", 7)), "the other peer that reported it is asked")
 	now = now.Add(time.Second)
 	k.Step(now, kernel.ConfigFailed{Node: "n3"})
-	require.Empty(t, k.Step(now, beat("n2", 7)), "a peer that did not deliver is left alone")
-	require.Empty(t, k.Step(now, beat("n3", 7)), "a peer that did not deliver is left alone")
+	require.Empty(t, k.Step(now, heartbeat("n2", 7)), "a peer that failed to deliver is not asked again")
+	require.Empty(t, k.Step(now, heartbeat("n3", 7)), "a peer that failed to deliver is not asked again")
 	want = []kernel.Action{kernel.FetchConfig{Node: "n2", Revision: 7}}
-	require.Equal(t, want, k.Step(now.Add(2*time.Second), beat("n2", 7)))
+	require.Equal(t, want, k.Step(now.Add(2*time.Second), heartbeat("n2", 7)))
 	k.Step(now, accepted(7))
-	require.Empty(t, k.Step(now.Add(time.Minute), beat("n3", 7)))
+	require.Empty(t, k.Step(now.Add(time.Minute), heartbeat("n3", 7)))
 }
 
-func TestChangesThatFollowEachOtherAreFetchedAtATick(t *testing.T) {
-	// Guards against this failure: the second of two quick changes is a second late.
+func TestQuickSecondChangeIsFetchedAtTick(t *testing.T) {
+	// Guards against the second of two quick changes being a second late: it falls
+	// into the pause between fetches.
 	k := newKernel(0)
 	k.Step(start, accepted(6))
-	k.Step(start, beat("n2", 7))
+	k.Step(start, heartbeat("n2", 7))
 	k.Step(start, accepted(7))
-	require.Empty(t, k.Step(start.Add(kernel.DefaultTick), beat("n2", 8)))
+	require.Empty(t, k.Step(start.Add(kernel.DefaultTick), heartbeat("n2", 8)))
 	want := []kernel.Action{kernel.FetchConfig{Node: "n2", Revision: 8}}
 	require.Equal(t, want, k.Step(start.Add(3*kernel.DefaultTick), kernel.Tick{}))
 }
 
-func TestTwoManifestsOfOneRevisionAreNoticed(t *testing.T) {
-	// Guards against this failure: nodes treat the same account differently, for good.
+func TestManifestConflictIsDetected(t *testing.T) {
+	// Guards against nodes that treat the same account differently for good, as
+	// they hold different manifests of one revision.
 	k := newKernel(0)
 	own := joined(t, &manifest.Manifest{Revision: 7})
 	other := joined(t, &manifest.Manifest{Revision: 7, Zones: []manifest.Zone{{Name: "a", Region: "r"}}})
