--- a/internal/deployment/record.go
+++ b/internal/deployment/record.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// removalsKept is how many removed items a node remembers: more than a day of
-// removals, at some 340 endpoint starts a day, in 100 KB.
+// removalsKept is how many removed items a node remembers: more than a day's at
+// some 340 endpoint starts a day, which must be sustained, in 100 KB.
 const removalsKept = 1000
 
 // Record is the store's content as a node knows it and sends it to other nodes. It
--- a/internal/deployment/state_test.go
+++ b/internal/deployment/state_test.go
@@ -98,7 +98,7 @@
 			wait:   drain - 100*time.Millisecond,
 		},
 		{
-			name:   "so are those removed by a peer that has seen the outage",
+			name:   "so are entries that a peer which saw the outage reports as removed",
 			update: deployment.Update{Items: []deployment.Item{removal("a", 3)}, Position: at(3), Lapsing: time.Second, Source: "n1"},
 			want:   []string{"a", "b"},
 		},
