--- a/bulrushhinge.go
+++ b/bulrushhinge.go
@@ -1,5 +1,5 @@
-// Package bulrushhinge is a router fleet for very many returning chats. A Node
-// is one router process; every node is alike.
+// Package bulrushhinge is a router fleet between callers and endpoints, for large
+// numbers of returning chats. A Node is one router process; all nodes are equal.
 package bulrushhinge
 
 import (
@@ -38,18 +38,18 @@
 )
 
 const (
-	// DefaultGrace is how long a stopping node still takes requests, so that
-	// callers and peers hear of the stop first.
+	// DefaultGrace is how long a stopping node still accepts requests, so that
+	// callers and peers learn of the stop first.
 	DefaultGrace = 2 * time.Second
-	// DefaultLinger is how long a stopping node at least answers that it takes
-	// no more requests, before it closes its listener.
+	// DefaultLinger is the minimum time for which a stopping node refuses
+	// requests before it closes its listener.
 	DefaultLinger = time.Second
 
-	// endTime is how long callers have to hear that a stop gives their requests up.
-	endTime = 500 * time.Millisecond
+	// abortTimeout bounds how long aborted requests may take to notify their callers.
+	abortTimeout = 500 * time.Millisecond
 )
 
-// ErrStart is returned where a node cannot start.
+// ErrStart is returned if a node cannot start.
 var ErrStart = errors.New("bulrushhinge: start")
 
 type (
@@ -64,36 +64,36 @@
 		Callers   net.Listener
 		Peers     net.Listener
 		Operators net.Listener
-		// Platform is where the platform listens.
+		// Platform is the platform's address.
 		Platform netip.AddrPort
-		// Join is where some other nodes listen for peers: a node that starts
-		// while the platform is down asks them for the instance list.
+		// Join holds the peer addresses of some other nodes: a node that starts
+		// while the platform is down fetches the instance list from them.
 		Join []netip.AddrPort
 		// Keys are the operators' public keys.
 		Keys []ed25519.PublicKey
-		// Grace is how long a stopping node still takes requests.
+		// Grace is how long a stopping node still accepts requests.
 		Grace time.Duration
-		// Linger is how long a stopping node at least refuses requests before
-		// its listener closes.
+		// Linger is the minimum time for which a stopping node refuses requests
+		// before it closes its listener.
 		Linger time.Duration
-		// Callers' limits; zero values are defaults.
+		// Limits are the limits for callers; zero values are defaults.
 		Limits caller.Config
-		// Token is the secret that operators show; without one only health and
+		// Token is the operators' bearer token; without one only health and
 		// readiness are served to them.
 		Token string
-		// Traces is how many requests' decisions are kept for operators.
+		// Traces is the number of requests whose decisions are kept for operators.
 		Traces int
-		// FleetSecrets are what all nodes of the fleet share and nobody else
-		// has, of peer.SecretSize random bytes each: the first is shown to
-		// peers, all are accepted.
+		// FleetSecrets are the secrets that only the nodes of the fleet share,
+		// peer.SecretSize random bytes each: the first is presented to peers,
+		// all are accepted.
 		FleetSecrets [][]byte
 		// Dialer opens every connection the node makes, to peers, endpoints and
 		// the platform; nil is the default of each.
 		Dialer Dialer
-		// Log takes the node's log; nil is logrus' standard logger.
+		// Log receives the node's log; nil is logrus' standard logger.
 		Log logrus.FieldLogger
-		// Import is what importing a cached token costs a service's engines,
-		// over computing it anew; services that are missing import nothing.
+		// Import maps a service to the cost at which its engines import a cached
+		// token, relative to computing it; services not listed import nothing.
 		Import map[string]float64
 		// Extensions register further plug-ins with the kernel.
 		Extensions []kernel.Extension
@@ -150,7 +150,7 @@
 		meter:   capacity.NewMeter(),
 	}
 	n.endpoints = endpoint.NewClient(endpoint.ClientConfig{Dialer: c.Dialer, Heard: func(addr netip.AddrPort, w endpoint.Notice) {
-		n.control.heard(addr, w)
+		n.control.handleNotice(addr, w)
 	}})
 	self := kernel.Node{
 		Name:        c.Instance,
@@ -182,7 +182,7 @@
 	n.source = platform.NewClient(platform.ClientConfig{Addr: c.Platform, Dialer: c.Dialer})
 	n.reader = platform.NewReader(platform.ReaderConfig{
 		Source: n.source, Sink: n.control, Cache: n.cache, Log: c.Log, Role: n.role, Meter: n.metrics,
-		Reread: reread, Join: n.joins(),
+		Reread: reread, Join: n.joinGetters(),
 	})
 	if err := n.serve(k, permits); err != nil {
 		return nil, err
@@ -190,17 +190,17 @@
 	return n, nil
 }
 
-// View returns the node's published control state.
+// View returns the newest published view.
 func (n *Node) View() *kernel.View { return n.control.View() }
 
-// Stop stops the node as planned: it leaves the entry answers first and tells
-// its peers, still serves for the grace time, then refuses further requests as
+// Stop shuts the node down gracefully: it withdraws from the entry responses and
+// notifies its peers, serves for the grace time, then refuses further requests as
 // not run while those in progress finish, until ctx ends.
 //
-// A listener that closes at once resets the connections it has not yet accepted
-// and those that callers keep; their callers could not tell whether a request
-// was run. The node therefore goes on answering, that it is stopping, for a
-// time after the last request.
+// Closing a listener at once resets connections that are not yet accepted and
+// those that callers keep alive; their callers could not tell whether a request
+// was run. The node therefore refuses requests for at least Linger before it
+// closes the listener.
 func (n *Node) Stop(ctx context.Context) error {
 	n.control.Offer(kernel.Drain{})
 	pause(ctx, n.config.Grace)
@@ -208,24 +208,25 @@
 	refused := time.Now()
 	err := errors.Join(n.handler.Wait(ctx), n.tickets.Wait(ctx))
 	if err != nil {
-		n.endRequests(ctx)
+		n.abortRequests(ctx)
 	}
 	pause(ctx, time.Until(refused.Add(n.config.Linger)))
 	err = errors.Join(err, n.callers.Shutdown(ctx))
 	return errors.Join(err, n.Close())
 }
 
-// endRequests gives up the requests that outlast a stop, and lets their callers hear so.
-func (n *Node) endRequests(ctx context.Context) {
+// abortRequests aborts the requests that outlast ctx and waits until their callers
+// are notified, up to abortTimeout.
+func (n *Node) abortRequests(ctx context.Context) {
 	n.handler.End()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 	defer cancel()
 	if err := n.handler.Wait(ctx); err != nil {
-		n.config.Log.WithError(err).Warn("requests cut by the stop")
+		n.config.Log.WithError(err).Warn("requests did not end after the abort; cutting them off")
 	}
 }
 
-// Close stops the node at once and cuts what is in progress.
+// Close stops the node at once and cuts off requests in progress.
 func (n *Node) Close() error {
 	err := errors.Join(n.callers.Close(), n.operators.Close())
 	n.dispatcher.Close()
@@ -249,8 +250,8 @@
 
 func (n *Node) platformStatus() []platform.Status { return n.reader.Status() }
 
-// role returns what the fleet expects of the platform's reader. A node that has
-// published no view yet knows no other that would read for it.
+// role returns what the platform's reader needs to know of the fleet. Before its
+// first view a node acts as a watcher, as it knows no other that reads for it.
 func (n *Node) role() platform.Role {
 	v := n.control.View()
 	return platform.Role{
@@ -262,7 +263,7 @@
 func (n *Node) serve(k *kernel.Kernel, permits *gate.Gate) error {
 	leases := poison.NewLeases(0)
 	n.dispatcher = dispatch.New(dispatch.Config{
-		View: k.View, Gate: permits, Peers: n.peers, Endpoints: n.endpoints, Sink: traffic{control: n.control},
+		View: k.View, Gate: permits, Peers: n.peers, Endpoints: n.endpoints, Sink: trafficSink{control: n.control},
 		Leases: leases, PeerLeases: n.peers, Limiter: n.limiter, Holder: n.holder, Caches: n.endpoints, Meter: n.meter,
 		Router:   route.NewRouter(route.Config{Import: n.config.Import}),
 		Recorder: dispatch.Recorders{n.traces, n.metrics, operator.Log{To: n.config.Log}},
@@ -275,7 +276,7 @@
 	n.server, err = peer.NewServer(peer.ServerConfig{
 		Key:      n.key,
 		Listener: n.metrics.Listener(n.config.Peers), Beats: n.control, Permits: permits,
-		Values: values{cache: n.cache, lister: &n.lister},
+		Values: localValues{cache: n.cache, lister: &n.lister},
 		Relays: n.handler, Leases: leases,
 	})
 	if err != nil {
--- a/control.go
+++ b/control.go
@@ -20,7 +20,7 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	beatTimeout       = time.Second
+	heartbeatTimeout  = time.Second
 	fetchTimeout      = 2 * time.Second
 	loadInterval      = time.Second
 	queueLength       = 1024
@@ -32,47 +32,47 @@
 		Peers     *peer.Client
 		Endpoints *endpoint.Client
 		Gate      *gate.Gate
-		// Cache takes revisions that peers deliver.
+		// Cache stores and verifies revisions fetched from peers.
 		Cache *platform.Cache
-		// Reread asks the platform's reader for new readings.
+		// Reread makes the platform's reader read every value again.
 		Reread chan<- struct{}
 		Log    logrus.FieldLogger
 		// Metrics counts heartbeats and fetches.
 		Metrics *operator.Metrics
 	}
 
-	// control owns the kernel: one goroutine steps it, others do the I/O that
-	// it asks for.
+	// control owns the kernel: one goroutine steps it, others do the I/O of the
+	// actions that it returns.
 	control struct {
 		config controlConfig
 		inputs chan input
 		cancel context.CancelFunc
 		ctx    context.Context
-		// seen is the last view whose probes were read, and probed those
-		// probes; both belong to the goroutine that owns the kernel.
+		// seen is the last view whose probes were handled, and probed the names
+		// of those endpoints; only the control goroutine uses them.
 		seen    *kernel.View
 		probed  map[string]bool
 		running sync.WaitGroup
-		// dropped counts events of traffic that found the queue full.
+		// dropped counts traffic events dropped because the queue was full.
 		dropped atomic.Int64
 	}
 
-	// valuesOf reads the configuration that a peer holds.
-	valuesOf struct {
+	// peerValues is a platform.Getter that reads a peer's copy of the values.
+	peerValues struct {
 		peers *peer.Client
 		addr  netip.AddrPort
 	}
 
-	// queueState is what waits for the control goroutine, for operators.
+	// queueState is the state of the control goroutine's queue in a dump.
 	queueState struct {
 		Waiting int   `json:"waiting"`
 		Dropped int64 `json:"dropped"`
 	}
 
-	// traffic is how traffic goroutines tell the control goroutine of failures.
-	traffic struct{ control *control }
+	// trafficSink is the event sink of the goroutines that serve requests.
+	trafficSink struct{ control *control }
 
-	// input is an event, a call on the goroutine that owns the kernel, or both.
+	// input is an event, a function to run on the control goroutine, or both.
 	input struct {
 		event kernel.Event
 		call  func(now time.Time)
@@ -94,7 +94,7 @@
 				c.config.Gate.Expire(now)
 				c.step(now, kernel.Tick{})
 			case in := <-c.inputs:
-				c.take(time.Now(), in)
+				c.handleInput(time.Now(), in)
 			}
 		}
 	})
@@ -104,10 +104,10 @@
 	return c
 }
 
-// Offer hands an event to the control goroutine and never waits.
-func (t traffic) Offer(ev kernel.Event) { t.control.note(ev) }
+// Offer queues an event for the control goroutine and never blocks.
+func (t trafficSink) Offer(ev kernel.Event) { t.control.tryOffer(ev) }
 
-// Offer hands an event to the control goroutine.
+// Offer queues an event for the control goroutine; it blocks while the queue is full.
 func (c *control) Offer(ev kernel.Event) {
 	select {
 	case c.inputs <- input{event: ev}:
@@ -115,13 +115,12 @@
 	}
 }
 
-// note hands an event of a traffic goroutine to the control goroutine, or drops
-// it where too many wait.
+// tryOffer queues an event of a traffic goroutine, or drops it if the queue is full.
 //
-// Were traffic to wait for the control goroutine, one slow step would hold up
-// every answer that the node streams, at all callers at once. What traffic tells
-// is seen again at the next failure.
-func (c *control) note(ev kernel.Event) {
+// If traffic blocked on the control goroutine, one slow step would stall every
+// response that the node streams. A dropped event is reported again at the next
+// failure.
+func (c *control) tryOffer(ev kernel.Event) {
 	select {
 	case c.inputs <- input{event: ev}:
 	default:
@@ -132,7 +131,7 @@
 // View returns the newest published view.
 func (c *control) View() *kernel.View { return c.config.Kernel.View() }
 
-// Beat takes a peer's heartbeat and returns the node's own.
+// Beat handles a peer's heartbeat and returns the node's own.
 func (c *control) Beat(_ context.Context, b *kernel.Beat) *kernel.Beat {
 	var reply *kernel.Beat
 	if !c.do(kernel.BeatReceived{Beat: b}, func(now time.Time) {
@@ -149,7 +148,7 @@
 	if !c.do(nil, func(now time.Time) {
 		state = c.config.Kernel.Dump(now)
 		state["control"] = queueState{Waiting: len(c.inputs), Dropped: c.dropped.Load()}
-		state["view"] = summary(c.View())
+		state["view"] = withoutManifest(c.View())
 	}) {
 		return map[string]any{}
 	}
@@ -162,9 +161,9 @@
 	c.running.Wait()
 }
 
-// do applies an event and runs a call on the control goroutine, and waits. It
-// reports whether the call has ended; where the node closes meanwhile, the call
-// may still run, and what it writes must not be read.
+// do applies an event and runs a function on the control goroutine, and waits
+// for both. It returns false if the node closes meanwhile: the function may then
+// still be running, and what it writes must not be read.
 func (c *control) do(ev kernel.Event, call func(now time.Time)) bool {
 	in := input{event: ev, call: call, done: make(chan struct{})}
 	select {
@@ -180,7 +179,7 @@
 	}
 }
 
-func (c *control) take(now time.Time, in input) {
+func (c *control) handleInput(now time.Time, in input) {
 	if in.event != nil {
 		c.step(now, in.event)
 	}
@@ -196,7 +195,7 @@
 	old := c.View()
 	before := revisionOf(old)
 	for _, a := range c.config.Kernel.Step(now, ev) {
-		c.act(now, a)
+		c.execute(now, a)
 	}
 	if after := revisionOf(c.View()); after != before {
 		c.config.Log.WithFields(logrus.Fields{"revision": after, "before": before}).Info("revision in force")
@@ -207,11 +206,11 @@
 	c.probeNew()
 }
 
-// probeNew reads the reports of endpoints whose home the node has become.
+// probeNew reads the load reports of endpoints that the node has just come to own.
 //
-// A node that just learned of an endpoint may have it from an old list, and
-// would admit work to one that has long been leaving until it reads its report
-// with the others, up to a second later. Asking at once leaves a round trip.
+// The endpoint may come from an old instance list and have been leaving for long.
+// Until its report is read, the node would admit work to it: up to a second
+// (loadInterval) with the periodic reads, one round trip when read at once.
 func (c *control) probeNew() {
 	v := c.View()
 	if v == c.seen {
@@ -228,11 +227,11 @@
 	c.probed = probed
 }
 
-func (c *control) act(now time.Time, a kernel.Action) {
+func (c *control) execute(now time.Time, a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.SendBeat:
 		beat := c.config.Kernel.Beat(now, a.To.Name)
-		c.running.Go(func() { c.sendBeat(a.To, beat) })
+		c.running.Go(func() { c.sendHeartbeat(a.To, beat) })
 	case kernel.Reread:
 		select {
 		case c.config.Reread <- struct{}{}:
@@ -245,8 +244,8 @@
 	}
 }
 
-func (c *control) sendBeat(to kernel.Node, beat *kernel.Beat) {
-	ctx, cancel := context.WithTimeout(c.ctx, beatTimeout)
+func (c *control) sendHeartbeat(to kernel.Node, beat *kernel.Beat) {
+	ctx, cancel := context.WithTimeout(c.ctx, heartbeatTimeout)
 	defer cancel()
 	reply, err := c.config.Peers.Beat(ctx, to.Peer, beat)
 	c.config.Metrics.Beat(err)
@@ -257,8 +256,8 @@
 	c.Offer(kernel.BeatReceived{Beat: reply})
 }
 
-// fetchConfig takes the newest accepted revision from a peer. The cache
-// verifies it, so a peer cannot put anything in force that operators did not
+// fetchConfig fetches the newest accepted revision from a peer. The cache
+// verifies it, so a peer cannot put a revision in force that operators did not
 // accept.
 func (c *control) fetchConfig(a kernel.FetchConfig) {
 	node, ok := c.View().Node(a.Node)
@@ -267,7 +266,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, fetchTimeout)
 	defer cancel()
-	m, err := c.config.Cache.Fetch(ctx, valuesOf{peers: c.config.Peers, addr: node.Peer})
+	m, err := c.config.Cache.Fetch(ctx, peerValues{peers: c.config.Peers, addr: node.Peer})
 	c.config.Metrics.Fetch(err)
 	if err != nil {
 		c.config.Log.WithError(err).WithFields(logrus.Fields{
@@ -297,21 +296,21 @@
 	c.Offer(kernel.OrderEnded{Endpoint: o.Endpoint, Accepted: err == nil, Fence: reply.Fence})
 }
 
-// readLoads asks the endpoints whose home the node is for their reports, and those
-// that have told it that they leave whether they have started again.
+// readLoads reads the load reports of the endpoints that the node owns, and checks
+// whether endpoints that told it that they are leaving have restarted.
 func (c *control) readLoads() {
 	v := c.View()
 	for _, e := range v.Probes {
 		c.running.Go(func() { c.readLoad(e) })
 	}
 	for _, e := range v.Leavers {
-		c.running.Go(func() { c.readWord(e) })
+		c.running.Go(func() { c.readNotice(e) })
 	}
 }
 
-// readWord asks an endpoint of another home whether it leaves. One that does not
-// answer says nothing.
-func (c *control) readWord(e kernel.Endpoint) {
+// readNotice asks an endpoint that another node owns whether it is leaving. A
+// failed request changes nothing.
+func (c *control) readNotice(e kernel.Endpoint) {
 	report, err := c.config.Endpoints.Load(c.ctx, e.Addr)
 	if err != nil {
 		return
@@ -319,9 +318,9 @@
 	c.Offer(kernel.EndpointSpoke{Endpoint: e.Name, Leaving: report.Leaving, Incarnation: report.Incarnation})
 }
 
-// heard takes what an endpoint says of itself in an answer to this node. Names of
-// endpoints that have left may be at the address, too.
-func (c *control) heard(addr netip.AddrPort, n endpoint.Notice) {
+// handleNotice handles a notice that an endpoint at addr sent with a response. It
+// applies to every endpoint name at the address, which may include removed ones.
+func (c *control) handleNotice(addr netip.AddrPort, n endpoint.Notice) {
 	now := time.Now()
 	for _, pool := range c.View().Pools {
 		for _, e := range pool.Endpoints {
@@ -329,10 +328,10 @@
 				continue
 			}
 			if n.Leaving {
-				c.note(kernel.EndpointSpoke{Endpoint: e.Name, Leaving: true, Incarnation: n.Incarnation})
+				c.tryOffer(kernel.EndpointSpoke{Endpoint: e.Name, Leaving: true, Incarnation: n.Incarnation})
 			}
 			if n.Rest > 0 {
-				c.note(kernel.EndpointRests{Endpoint: e.Name, Until: now.Add(n.Rest)})
+				c.tryOffer(kernel.EndpointRests{Endpoint: e.Name, Until: now.Add(n.Rest)})
 			}
 		}
 	}
@@ -358,7 +357,7 @@
 }
 
 // Values reads values by their keys.
-func (v valuesOf) Values(ctx context.Context, keys []string) (map[string][]byte, error) {
+func (v peerValues) Values(ctx context.Context, keys []string) (map[string][]byte, error) {
 	return v.peers.Values(ctx, v.addr, keys)
 }
 
@@ -369,9 +368,9 @@
 	return v.Manifest.Revision
 }
 
-// summary returns a view without its manifest, which operators have; at 1,600
-// accounts it would be most of a dump.
-func summary(v *kernel.View) *kernel.View {
+// withoutManifest returns the view without its manifest: operators have it, and
+// at 1,600 accounts it would be most of a dump.
+func withoutManifest(v *kernel.View) *kernel.View {
 	s := *v
 	s.Manifest = nil
 	return &s
--- a/gateway.go
+++ b/gateway.go
@@ -31,25 +31,25 @@
 
 const (
 	// addressTTL is how long callers keep the addresses of nodes: short, so
-	// that they soon leave one that has died.
+	// that they soon stop using a dead one.
 	addressTTL = time.Second
-	// maxAddresses is how many addresses callers take.
+	// maxAddresses is the most addresses that callers accept.
 	maxAddresses = 64
-	// closeShare is the part of the grace after which a stopping node closes
-	// its listener and the connections that callers keep idle; some callers
-	// keep addresses for three lifetimes.
+	// closeShare is the fraction of the grace after which a stopping node closes
+	// its listener and idle connections. Some callers keep addresses for three
+	// times their TTL.
 	closeShare = 0.5
-	// graceMargin is how long before the end of the grace a stopping node ends.
+	// graceMargin is how long before the end of the grace a stopping node closes.
 	graceMargin = 400 * time.Millisecond
-	// maxHeaderBytes bounds a request's head before the configuration's own
-	// limit is looked at.
+	// maxHeaderBytes bounds a request's header before the configured limit is
+	// checked.
 	maxHeaderBytes = 64 << 10
-	// forgetInterval is how often endpoints that are gone are forgotten, and
-	// forgetAfter how long they are remembered.
+	// forgetInterval is how often the state of unused endpoints is dropped, and
+	// forgetAfter how long it is kept after the last use.
 	forgetInterval = 10 * time.Second
 	forgetAfter    = time.Minute
-	// meetTime is within what time of its start a node has heard of another one.
-	meetTime = 500 * time.Millisecond
+	// discoveryTime is how long after its start a node may know no other node yet.
+	discoveryTime = 500 * time.Millisecond
 )
 
 type (
@@ -58,109 +58,110 @@
 		// Node is the node's name, and Zone its availability zone.
 		Node string
 		Zone string
-		// Regions are those of the availability zones, by the zones' names.
+		// Regions maps availability zones to their regions.
 		Regions map[string]string
-		// Power is the processor time that the node has, in thousandths of a core.
+		// Power is the node's CPU allowance in thousandths of a core.
 		Power int
 		IP    netip.Addr
-		// Port is for datagrams and calls between nodes, the same on all.
+		// Port is the port for datagrams and calls between nodes, the same on all.
 		Port uint16
 		// Seeds are the addresses of some nodes.
 		Seeds []netip.Addr
-		// Callers is where callers are served, Directory where they ask for
-		// addresses, Ready where the platform asks whether the node is ready,
-		// and Metrics where metrics are read.
+		// Callers is the listen address for requests, Directory for callers'
+		// address lookups, Ready for the platform's readiness checks, and
+		// Metrics for metrics and state.
 		Callers   netip.AddrPort
 		Directory netip.AddrPort
 		Ready     netip.AddrPort
 		Metrics   netip.AddrPort
-		// Source reads the platform's store, and Decoder understands it.
+		// Source reads the platform's store, and Decoder decodes its items.
 		Source  store.Source
 		Decoder deployment.Decoder
 		Headers gateway.Headers
-		// Places returns what reserves places at engines over a pool's
-		// connections; it may be nil.
+		// Places returns the reserver of places at engines, which uses the
+		// pool's connections; it may be nil.
 		Places func(p *http1.Pool) gateway.Reserver
-		// Answers returns the handler of questions for addresses and readiness.
+		// Answers returns the handler of Directory and Ready.
 		Answers func(g *Gateway) http.Handler
-		// Retry bounds repeats; its Nodes is set by the gateway.
+		// Retry is the retry budget; its Nodes is set by the gateway.
 		Retry budget.Config
-		// AddressTTL bounds how long callers keep an answer.
+		// AddressTTL bounds how long callers keep addresses; 0 leaves the default.
 		AddressTTL time.Duration
-		// Drain is within what time a leaving endpoint must get no more requests.
+		// Drain is the time within which a leaving endpoint must get no more
+		// requests.
 		Drain time.Duration
-		// Apply is within what time a change of the configuration must be in
-		// force.
+		// Apply is the time within which a change of the configuration must be
+		// in force.
 		Apply time.Duration
 		// LoadCap is the greatest multiple of the mean load that an endpoint
 		// may have.
 		LoadCap float64
-		// Grace is how long the process may go on after it is told to stop.
+		// Grace is how long the process may run after it is told to stop.
 		Grace time.Duration
-		// Log takes JSON lines.
+		// Log receives JSON lines.
 		Log io.Writer
 	}
 
 	// Gateway is one router process that serves the platform's callers.
 	Gateway struct {
-		config   GatewayConfig
-		log      *decision.Log
-		state    *deployment.State
-		follower *store.Follower
-		gossip   *gossip.Gossip
-		balancer *balance.Balancer
-		pool     *http1.Pool
-		handler  *gateway.Handler
-		metrics  *gateway.Metrics
-		news     *gossip.Metrics
-		stored   *store.Metrics
-		callers  *http.Server
-		servers  []*http.Server
-		seeds    atomic.Pointer[[]netip.Addr]
-		stopping atomic.Bool
-		began    time.Time
-		cancel   context.CancelFunc
-		running  sync.WaitGroup
+		config        GatewayConfig
+		log           *decision.Log
+		state         *deployment.State
+		follower      *store.Follower
+		gossip        *gossip.Gossip
+		balancer      *balance.Balancer
+		pool          *http1.Pool
+		handler       *gateway.Handler
+		metrics       *gateway.Metrics
+		gossipMetrics *gossip.Metrics
+		storeMetrics  *store.Metrics
+		callers       *http.Server
+		servers       []*http.Server
+		seeds         atomic.Pointer[[]netip.Addr]
+		stopping      atomic.Bool
+		began         time.Time
+		cancel        context.CancelFunc
+		running       sync.WaitGroup
 	}
 
-	// loads reads the other nodes' loads; the balancer is there before the
-	// gossip is.
-	loads struct{ gateway *Gateway }
+	// peerLoads reads the other nodes' loads through the gateway, because the
+	// balancer is created before the gossip.
+	peerLoads struct{ gateway *Gateway }
 )
 
 // Others returns the requests in progress at an endpoint that other nodes sent.
-func (l loads) Others(key uint32) int { return l.gateway.gossip.Others(key) }
+func (l peerLoads) Others(key uint32) int { return l.gateway.gossip.Others(key) }
 
-// OthersReading returns the prompt tokens that an endpoint is still to read for
+// OthersReading returns the prompt tokens that an endpoint has yet to prefill for
 // other nodes' requests.
-func (l loads) OthersReading(key uint32) int { return l.gateway.gossip.OthersReading(key) }
+func (l peerLoads) OthersReading(key uint32) int { return l.gateway.gossip.OthersReading(key) }
 
-// OthersFailures returns the attempts of other nodes that an endpoint has failed
-// lately.
-func (l loads) OthersFailures(key uint32) int { return l.gateway.gossip.OthersFailures(key) }
+// OthersFailures returns the recent attempts of other nodes that an endpoint has
+// failed.
+func (l peerLoads) OthersFailures(key uint32) int { return l.gateway.gossip.OthersFailures(key) }
 
 // Age returns how old the other nodes' loads are.
-func (l loads) Age(now time.Time) time.Duration { return l.gateway.gossip.Age(now) }
+func (l peerLoads) Age(now time.Time) time.Duration { return l.gateway.gossip.Age(now) }
 
 // NewGateway starts a gateway.
 func NewGateway(c GatewayConfig) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &Gateway{config: c, log: decision.New(decision.LogConfig{To: c.Log, Node: c.Node}), metrics: gateway.NewMetrics(), news: gossip.NewMetrics(), stored: store.NewMetrics(), began: time.Now(), cancel: cancel}
+	g := &Gateway{config: c, log: decision.New(decision.LogConfig{To: c.Log, Node: c.Node}), metrics: gateway.NewMetrics(), gossipMetrics: gossip.NewMetrics(), storeMetrics: store.NewMetrics(), began: time.Now(), cancel: cancel}
 	g.SetSeeds(c.Seeds)
 	g.state = deployment.NewState(deployment.StateConfig{Decoder: c.Decoder, Drain: c.Drain, Regions: slices.Sorted(maps.Values(c.Regions)), Log: g.log})
 	nodes := func() int { return g.gossip.View().Known }
-	g.balancer = balance.New(balance.Config{Loads: loads{gateway: g}, Zone: c.Zone, Cap: c.LoadCap, Nodes: nodes})
+	g.balancer = balance.New(balance.Config{Loads: peerLoads{gateway: g}, Zone: c.Zone, Cap: c.LoadCap, Nodes: nodes})
 	g.pool = http1.NewPool(http1.PoolConfig{RequestID: c.Headers.RequestID, Opened: g.metrics.Opened})
 	crashes := gateway.NewCrashes(func(fingerprint uint64, endpoint deployment.Start) {
 		g.gossip.Tell(gossip.Crash{Print: fingerprint, Endpoint: endpoint.Key()})
 	})
 	var err error
-	// The gossip may call for a reading before the follower is there.
+	// The gossip may call for a reread before the follower exists.
 	follower := &atomic.Pointer[store.Follower]{}
 	g.gossip, err = gossip.New(gossip.Config{
 		Self: gossip.Member{Name: c.Node, Zone: c.Zone, IP: c.IP, Callers: c.Callers, Power: power(c.Power), Incarnation: rand.Uint64()},
 		Port: c.Port, Seeds: func() []netip.Addr { return *g.seeds.Load() }, Book: g.state,
-		State: g.memberState, Work: g.balancer, Metrics: g.news, Log: g.log,
+		State: g.memberState, Work: g.balancer, Metrics: g.gossipMetrics, Log: g.log,
 		Crashed: func(k gossip.Crash) { crashes.Note(time.Now(), k.Print, k.Endpoint) },
 		Untold: func() {
 			if f := follower.Load(); f != nil {
@@ -182,8 +183,8 @@
 		Crashes: crashes, Metrics: g.metrics, Log: g.log, Places: places, Regions: c.Regions, Nodes: nodes, Peers: g.peers, Stopping: g.stopping.Load,
 	})
 	g.follower = store.NewFollower(store.FollowerConfig{
-		Source: c.Source, Sink: g.state, Metrics: g.stored, Log: g.log,
-		Reads: g.gossip.Reads, Bound: soonest(c.Drain, c.Apply),
+		Source: c.Source, Sink: g.state, Metrics: g.storeMetrics, Log: g.log,
+		Reads: g.gossip.Reads, Bound: shorterBound(c.Drain, c.Apply),
 	})
 	follower.Store(g.follower)
 	if err := g.listen(); err != nil {
@@ -197,22 +198,22 @@
 	return g, nil
 }
 
-// power returns what other nodes are told of a node's processor time: at least
-// something, so that it may be a relay.
+// power returns the CPU allowance that is reported to other nodes: at least 1, so
+// that the node may be a relay.
 func power(thousandths int) uint16 { return uint16(min(max(thousandths, 1), math.MaxUint16)) }
 
-// soonest returns the shorter of two bounds, of which 0 says nothing.
-func soonest(a, b time.Duration) time.Duration {
+// shorterBound returns the shorter of two bounds; 0 is no bound.
+func shorterBound(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return max(a, b)
 	}
 	return min(a, b)
 }
 
-// SetSeeds replaces the addresses of some nodes.
+// SetSeeds replaces the seed addresses.
 func (g *Gateway) SetSeeds(seeds []netip.Addr) { g.seeds.Store(&seeds) }
 
-// Reloaded logs that the settings were read anew.
+// Reloaded logs that the settings were read again, and the error if that failed.
 func (g *Gateway) Reloaded(err error) {
 	f := decision.Fields{"seeds": *g.seeds.Load()}
 	if err != nil {
@@ -221,16 +222,16 @@
 	g.log.Event("reload", f)
 }
 
-// Ready reports whether the node takes callers.
+// Ready reports whether the node serves callers.
 func (g *Gateway) Ready() bool {
 	return !g.stopping.Load() && g.state.Snapshot().Config != nil
 }
 
-// Resolve returns the addresses of nodes for a caller, and how long to keep them.
+// Resolve returns the addresses of nodes for a caller, and their TTL.
 func (g *Gateway) Resolve(c gateway.Caller) ([]netip.AddrPort, time.Duration) {
-	var homes []string
+	var regions []string
 	if config := g.state.Snapshot().Config; config != nil {
-		homes = config.Homes(c.Host)
+		regions = config.Homes(c.Host)
 	}
 	var ready []gateway.Node
 	if g.Ready() {
@@ -241,14 +242,14 @@
 			ready = append(ready, gateway.Node{Zone: m.Zone, Callers: m.Callers})
 		}
 	}
-	all := gateway.Nearest(c, ready, g.config.Regions, homes)
+	all := gateway.Nearest(c, ready, g.config.Regions, regions)
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), maxAddresses)], min(addressTTL, cmp.Or(g.config.AddressTTL, addressTTL))
 }
 
-// Stop stops the gateway as planned, within its grace. It is out of the
-// addresses at once and still serves who comes; then it closes what is idle,
-// and waits for the requests in progress.
+// Stop shuts the gateway down gracefully, within its grace. It is withdrawn from
+// the addresses at once but still accepts requests; then it closes its listener
+// and idle connections, and waits for the requests in progress.
 func (g *Gateway) Stop() error {
 	began := time.Now()
 	g.stopping.Store(true)
@@ -277,7 +278,7 @@
 	return errors.Join(errs...)
 }
 
-// Dump returns the gateway's state, for operators.
+// Dump returns the gateway's state for operators.
 func (g *Gateway) Dump() map[string]any {
 	age, known := g.state.Age()
 	snap := g.state.Snapshot()
@@ -288,14 +289,14 @@
 	}
 }
 
-// peers returns what the node hears of others. In its first moments it may not
-// have heard of any yet.
+// peers returns the state of the other nodes as far as this one knows it. For
+// discoveryTime after its start it may not know any yet.
 func (g *Gateway) peers() gateway.Peers {
 	alive := g.gossip.View().Alive
 	switch {
 	case slices.ContainsFunc(alive, func(m gossip.Member) bool { return m.State == gossip.Ready }):
 		return gateway.PeersServe
-	case len(alive) > 0 || time.Since(g.began) < meetTime:
+	case len(alive) > 0 || time.Since(g.began) < discoveryTime:
 		return gateway.PeersStart
 	}
 	return gateway.PeersSilent
@@ -311,8 +312,8 @@
 	return gossip.Starting
 }
 
-// bounded returns the callers' listener with the limits of the configuration.
-func (g *Gateway) bounded(l net.Listener) net.Listener {
+// limitListener wraps the callers' listener with the configured timeouts.
+func (g *Gateway) limitListener(l net.Listener) net.Listener {
 	b := http1.NewListener(l, func() http1.Limits {
 		c := g.state.Snapshot().Config
 		if c == nil {
@@ -325,23 +326,23 @@
 }
 
 func (g *Gateway) listen() error {
-	answers := g.config.Answers(g)
+	directory := g.config.Answers(g)
 	operators := http.NewServeMux()
 	operators.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		g.metrics.Write(w)
-		g.news.Write(w)
-		g.stored.Write(w)
+		g.gossipMetrics.Write(w)
+		g.storeMetrics.Write(w)
 	})
 	operators.HandleFunc("GET /state", g.serveState)
-	// Its timeouts are the listener's, which follow the configuration.
+	// The listener enforces the timeouts, as they follow the configuration.
 	g.callers = &http.Server{Handler: g.handler, MaxHeaderBytes: maxHeaderBytes}
 	targets := []struct {
 		addr   netip.AddrPort
 		server *http.Server
 	}{
 		{g.config.Callers, g.callers},
-		{g.config.Directory, &http.Server{Handler: answers, ReadHeaderTimeout: readHeaderTimeout}},
-		{g.config.Ready, &http.Server{Handler: answers, ReadHeaderTimeout: readHeaderTimeout}},
+		{g.config.Directory, &http.Server{Handler: directory, ReadHeaderTimeout: readHeaderTimeout}},
+		{g.config.Ready, &http.Server{Handler: directory, ReadHeaderTimeout: readHeaderTimeout}},
 		{g.config.Metrics, &http.Server{Handler: operators, ReadHeaderTimeout: readHeaderTimeout}},
 	}
 	for _, t := range targets {
@@ -350,7 +351,7 @@
 			return fmt.Errorf("%w: %v", ErrStart, err)
 		}
 		if t.server == g.callers {
-			l = g.bounded(l)
+			l = g.limitListener(l)
 		}
 		t.server.ErrorLog = log.New(io.Discard, "", 0)
 		g.servers = append(g.servers, t.server)
--- a/gateway_state.go
+++ b/gateway_state.go
@@ -13,6 +13,6 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An operator that has gone needs no answer.
+	// A failed write means that the operator has disconnected.
 	_, _ = w.Write(data)
 }
--- a/list.go
+++ b/list.go
@@ -8,18 +8,18 @@
 	"bulrushhinge.example/bulrushhinge/internal/platform"
 )
 
-// priorityLister comes after all plug-ins that change the list.
+// priorityLister runs the lister after all plug-ins that change the list.
 const priorityLister = 10_000
 
 type (
-	// lister is a kernel's plug-in that keeps the instance list in force for
-	// nodes that start while the platform is down.
+	// lister is a kernel plug-in that keeps the instance list in force, to serve
+	// it to nodes that start while the platform is down.
 	lister struct {
 		list atomic.Pointer[kernel.Listed]
 	}
 
-	// values is what a node tells its peers of the platform's values.
-	values struct {
+	// localValues serves the node's copies of the platform's values to its peers.
+	localValues struct {
 		cache  *platform.Cache
 		lister *lister
 	}
@@ -28,7 +28,7 @@
 // Extend registers the plug-in.
 func (l *lister) Extend(k *kernel.Kernel) { k.Register(l, priorityLister) }
 
-// Handle keeps the newest list.
+// Handle stores the newest list.
 func (l *lister) Handle(_ time.Time, ev kernel.Event, _ *kernel.Output) {
 	if listed, ok := ev.(kernel.Listed); ok {
 		l.list.Store(&listed)
@@ -38,8 +38,8 @@
 // Publish adds nothing to views.
 func (l *lister) Publish(time.Time, *kernel.View) {}
 
-// Value returns a value by its key, nil where there is none.
-func (v values) Value(key string) []byte {
+// Value returns the value of a key, or nil if there is none.
+func (v localValues) Value(key string) []byte {
 	if key != platform.KeyInstances {
 		return v.cache.Value(key)
 	}
@@ -54,11 +54,11 @@
 	return data
 }
 
-// joins returns the getters of nodes that a starting node may ask.
-func (n *Node) joins() []platform.Getter {
+// joinGetters returns a getter for each node of Config.Join.
+func (n *Node) joinGetters() []platform.Getter {
 	var list []platform.Getter
 	for _, addr := range n.config.Join {
-		list = append(list, valuesOf{peers: n.peers, addr: addr})
+		list = append(list, peerValues{peers: n.peers, addr: addr})
 	}
 	return list
 }
