--- a/cmd/bulrushhinge/ask.go
+++ b/cmd/bulrushhinge/ask.go
@@ -13,7 +13,7 @@
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
-// askAttempts is how often a turn whose answer was cut is asked again.
+// askAttempts is the most attempts at one turn.
 const askAttempts = 3
 
 type askCommand struct {
@@ -29,7 +29,7 @@
 	Text      []string         `arg:"" optional:"" help:"One turn each; without any, turns are read from the standard input, one a line."`
 }
 
-// Run asks one turn after the other within one chat.
+// Run sends the turns of one chat in sequence.
 func (c *askCommand) Run() error {
 	client := entry.New(entry.Config{Addrs: c.Entry, Key: c.Key, Zone: c.Zone})
 	defer client.Close()
@@ -51,8 +51,8 @@
 	return lines.Err()
 }
 
-// turn asks until the answer is whole, as far as that is safe, and waits as
-// long as the fleet says.
+// turn sends a turn and prints the answer. It retries a failed attempt if that is
+// safe, after the delay that the fleet requests.
 func (c *askCommand) turn(client *entry.Client, chat *entry.Chat, text string) error {
 	o := entry.Options{Once: c.Once, Priority: c.Priority, MaxTokens: c.MaxTokens}
 	for attempt := 1; ; attempt++ {
--- a/cmd/bulrushhinge/ask_test.go
+++ b/cmd/bulrushhinge/ask_test.go
@@ -20,8 +20,8 @@
 // turnEnd is the line after each whole answer.
 var turnEnd = regexp.MustCompile(`^\[node (\S+), request [0-9a-f]+, \d+ of \d+ prompt tokens cached\]$`)
 
-// Guards against this failure: a returning chat ends with the node that served it.
-func TestAskFollowsAChatOverAKilledNode(t *testing.T) {
+// Guards against a chat that fails after the node that served it has been killed.
+func TestAskContinuesAChatAfterItsNodeIsKilled(t *testing.T) {
 	c := loopback.Thies()
 	c.Nodes = c.Nodes[:3]
 	log := logrus.New()
@@ -53,7 +53,7 @@
 	require.NoError(t, ask.Wait())
 }
 
-// turn has ask ask something and returns the node that answered.
+// turn sends text to the ask command and returns the node that answered.
 func turn(t *testing.T, in io.Writer, lines *bufio.Scanner, text string) netip.AddrPort {
 	t.Helper()
 	_, err := fmt.Fprintln(in, text)
@@ -62,7 +62,7 @@
 		if m := turnEnd.FindStringSubmatch(lines.Text()); m != nil {
 			return netip.MustParseAddrPort(m[1])
 		}
-		require.Contains(t, lines.Text(), text, "the answer says what was asked")
+		require.Contains(t, lines.Text(), text, "the answer repeats the question")
 	}
 	require.Fail(t, "ask ended", lines.Err())
 	return netip.AddrPort{}
--- a/cmd/bulrushhinge/command_test.go
+++ b/cmd/bulrushhinge/command_test.go
@@ -73,7 +73,7 @@
 	return data
 }
 
-func TestNodeNamesEveryWrongSetting(t *testing.T) {
+func TestNodeReportsEveryInvalidSetting(t *testing.T) {
 	code, _, stderr := run(t, []string{"BULRUSHHINGE_MAX_BODY=many"},
 		"node", "--callers=nowhere", "--keys=ab,cd", "--grace=-1s", "--timeout=1h", "--level=loud")
 	require.Equal(t, 2, code)
@@ -135,7 +135,7 @@
 	require.Equal(t, 2, code)
 }
 
-func TestManifestSplitWritesWhatIsPublished(t *testing.T) {
+func TestManifestSplitWritesPublishedValues(t *testing.T) {
 	data := sample(t, 1, 5)
 	m, err := manifest.Parse(data)
 	require.NoError(t, err)
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestSettingsPage fails where the operators' page and the command line differ;
-// the table to put there is the output of the command.
+// TestSettingsPage guards against differences between the operators' page and the
+// command line. The page's tables are the output of the command below.
 func TestSettingsPage(t *testing.T) {
 	code, stdout, stderr := run(t, nil, "settings", "node", "serve", "state", "manifest")
 	require.Zero(t, code, stderr)
--- a/cmd/bulrushhinge/main.go
+++ b/cmd/bulrushhinge/main.go
@@ -1,5 +1,5 @@
-// Command bulrushhinge is the router fleet's one binary: the node, the
-// operators' and callers' tools, and the stand-ins.
+// Command bulrushhinge is the router fleet's only binary: the node, the tools of
+// operators and callers, and the stand-ins for the platform and endpoints.
 package main
 
 import (
--- a/cmd/bulrushhinge/manifest.go
+++ b/cmd/bulrushhinge/manifest.go
@@ -21,8 +21,8 @@
 	fileMode = 0o644
 )
 
-// errOlder is returned where a proposal is not above what is in force.
-var errOlder = errors.New("manifest: the revision must be above the one in force")
+// errNotNewer is returned if a proposal's revision is not above the one in force.
+var errNotNewer = errors.New("manifest: the revision must be above the one in force")
 
 type (
 	manifestCommand struct {
@@ -62,14 +62,14 @@
 
 	manifestKey struct{}
 
-	// published is one value as the pipeline publishes it.
+	// published is one value in the form in which the pipeline publishes it.
 	published struct {
 		Key   string          `json:"key"`
 		Value json.RawMessage `json:"value"`
 	}
 )
 
-// Run checks a manifest.
+// Run validates a manifest and prints a summary.
 func (c *manifestCheck) Run() error {
 	m, err := readManifest(c.File)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Run writes the values of a manifest.
+// Run writes the values that are published for a manifest.
 func (c *manifestSplit) Run() error {
 	m, err := readManifest(c.File)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// Validate names every wrong setting at once.
+// Validate reports every invalid setting at once.
 func (c *manifestAccept) Validate() error { return checkSettings(c) }
 
 // Run prints a record of acceptance.
@@ -140,21 +140,21 @@
 	return printRecord(m, c.Seed.key, manifest.Accept)
 }
 
-// showChanges prints what a manifest changes in the one in force, and returns
-// errOlder where it could not come into force.
+// showChanges prints the changes from the manifest in force to m. It returns
+// errNotNewer if m's revision is not above the one in force.
 func showChanges(old string, m *manifest.Manifest) error {
 	before, err := readManifest(old)
 	if err != nil {
 		return err
 	}
 	if m.Revision <= before.Revision {
-		return fmt.Errorf("%w: %d, in force %d", errOlder, m.Revision, before.Revision)
+		return fmt.Errorf("%w: %d, in force %d", errNotNewer, m.Revision, before.Revision)
 	}
 	printChanges(os.Stderr, manifest.Diff(before, m))
 	return nil
 }
 
-// Validate names every wrong setting at once.
+// Validate reports every invalid setting at once.
 func (c *manifestReject) Validate() error { return checkSettings(c) }
 
 // Run prints a record of rejection.
@@ -166,7 +166,7 @@
 	return printRecord(m, c.Seed.key, manifest.Reject)
 }
 
-// Run makes a key pair.
+// Run generates and prints a key pair.
 func (c *manifestKey) Run() error {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
--- a/cmd/bulrushhinge/node.go
+++ b/cmd/bulrushhinge/node.go
@@ -46,7 +46,7 @@
 	Level        string             `help:"Least level that is logged: debug, info, warn or error." default:"info"`
 }
 
-// Validate names every wrong setting at once.
+// Validate reports every invalid setting at once.
 func (c *nodeCommand) Validate() error {
 	err := checkSettings(c)
 	if c.Timeout.Duration > c.MaxTimeout.Duration {
--- a/cmd/bulrushhinge/replay.go
+++ b/cmd/bulrushhinge/replay.go
@@ -121,10 +121,10 @@
 	}
 	var rows []*replay.Result
 	for i, r := range results {
-		top := ideal[i/len(policies)]
-		r.Ideal = top.Reuse
+		best := ideal[i/len(policies)]
+		r.Ideal = best.Reuse
 		if i%len(policies) == 0 {
-			rows = append(rows, top)
+			rows = append(rows, best)
 		}
 		rows = append(rows, r)
 	}
--- a/cmd/bulrushhinge/serve.go
+++ b/cmd/bulrushhinge/serve.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// memoryShare is the part of the process's memory limit at which the
-	// runtime collects garbage eagerly.
+	// memoryShare is the fraction of the process's memory limit that is set as
+	// the Go runtime's soft limit, near which it collects garbage more often.
 	memoryShare = 0.7
-	// storeConnect bounds a new connection to the store.
-	storeConnect = 700 * time.Millisecond
-	// lookInterval is how often the settings file is read anew; reading it
-	// takes some 50 microseconds.
-	lookInterval = 5 * time.Second
+	// storeDialTimeout is the timeout for a new connection to the store.
+	storeDialTimeout = 700 * time.Millisecond
+	// pollInterval is how often the settings file is read again; a read takes
+	// about 50 microseconds.
+	pollInterval = 5 * time.Second
 )
 
 type serveCommand struct {
@@ -57,24 +57,24 @@
 	return nil
 }
 
-// follow takes new settings until a signal ends the process. The file may change
-// without a signal; a node that was cut off for long must not go on to look for
-// seeds that are gone.
+// follow applies new seeds from the settings file until a signal ends the process.
+// The file may change without a signal, so it is also polled: otherwise a node
+// that was isolated for long would keep trying seeds that no longer exist.
 func (*serveCommand) follow(g *bulrushhinge.Gateway, s platform.Settings, signals <-chan os.Signal) {
-	look := time.NewTicker(lookInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
-		told := false
+		signaled := false
 		select {
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
 				return
 			}
-			told = true
-		case <-look.C:
+			signaled = true
+		case <-ticker.C:
 		}
 		next, err := platform.ReadSettings()
-		if !told && err == nil && slices.Equal(next.Seeds, s.Seeds) {
+		if !signaled && err == nil && slices.Equal(next.Seeds, s.Seeds) {
 			continue
 		}
 		if err == nil {
@@ -87,7 +87,7 @@
 
 func (c *serveCommand) config(s platform.Settings) bulrushhinge.GatewayConfig {
 	transport := &http.Transport{
-		DialContext:           http1.Dialer(storeConnect).DialContext,
+		DialContext:           http1.Dialer(storeDialTimeout).DialContext,
 		MaxIdleConnsPerHost:   1,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: 0,
--- a/cmd/bulrushhinge/setting.go
+++ b/cmd/bulrushhinge/setting.go
@@ -20,9 +20,8 @@
 )
 
 type (
-	// fault is what is wrong with a setting. The command line stops at the
-	// first value that it cannot read; settings that keep their fault can be
-	// named all at once.
+	// fault is the error of an invalid setting. The command-line parser stops at
+	// the first error; settings that store theirs can be reported all at once.
 	fault struct{ err error }
 
 	faulty interface{ problem() error }
@@ -33,13 +32,13 @@
 		netip.AddrPort
 	}
 
-	// duration is the setting of a time from 0.
+	// duration is the setting of a duration of 0 or more.
 	duration struct {
 		fault
 		time.Duration
 	}
 
-	// count is the setting of a whole number from 1.
+	// count is the setting of an integer of 1 or more.
 	count struct {
 		fault
 		n int
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// UnmarshalText reads a whole number.
+// UnmarshalText reads an integer of 1 or more.
 func (c *count) UnmarshalText(text []byte) error {
 	_, c.err = fmt.Sscanf(string(text)+"\n", "%d\n", &c.n)
 	if c.err != nil || c.n < 1 {
@@ -101,8 +100,8 @@
 	return nil
 }
 
-// UnmarshalText reads a seed in hexadecimal. The fault does not show the text,
-// which is a secret.
+// UnmarshalText reads a seed in hexadecimal. The error omits the text, which is a
+// secret.
 func (k *privateKey) UnmarshalText(text []byte) error {
 	seed, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
@@ -113,7 +112,7 @@
 	return nil
 }
 
-// UnmarshalText reads a secret in hexadecimal. The fault does not show it.
+// UnmarshalText reads a secret in hexadecimal. The error omits it.
 func (s *secret) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(data) != peer.SecretSize {
@@ -124,8 +123,8 @@
 	return nil
 }
 
-// checkSettings returns everything that is wrong with the settings of a
-// command, a pointer to a struct of flags.
+// checkSettings returns all errors in the settings of a command, which is a
+// pointer to a struct of flags: missing and invalid values.
 func checkSettings(command any) error {
 	v := reflect.ValueOf(command).Elem()
 	var errs []error
--- a/cmd/bulrushhinge/settings.go
+++ b/cmd/bulrushhinge/settings.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// settingsCommand prints the tables of docs/operators/settings.md, so that the
-// page never differs from the command line.
+// settingsCommand prints the tables of docs/operators/settings.md; a test checks
+// that the page matches the command line.
 type settingsCommand struct {
 	Commands []string `arg:"" optional:"" help:"Commands to show, such as node or manifest; without any, all."`
 }
--- a/cmd/bulrushhinge/state.go
+++ b/cmd/bulrushhinge/state.go
@@ -22,7 +22,7 @@
 	maxStateBytes = 64 << 20
 )
 
-// errState is returned where a node did not show its state.
+// errState is returned if a node's state cannot be read.
 var errState = errors.New("state: the node did not answer")
 
 // stateCommand shows the state of a running node.
@@ -33,7 +33,7 @@
 	JSON      bool    `name:"json" help:"Print the whole dump as JSON."`
 }
 
-// Validate names every wrong setting at once.
+// Validate reports every invalid setting at once.
 func (c *stateCommand) Validate() error { return checkSettings(c) }
 
 // Run prints the state.
--- a/cmd/bulrushhinge/zones.go
+++ b/cmd/bulrushhinge/zones.go
@@ -11,24 +11,24 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// zonesCommand shows what the nodes of a gateway fleet know of evacuations.
+// zonesCommand shows the evacuations that each node of a gateway fleet knows.
 type zonesCommand struct {
 	Nodes []address `arg:"" help:"Addresses and ports at which nodes serve their metrics and state."`
 }
 
-// nodeZones is what one node knows.
+// nodeZones is the part of a node's state that concerns evacuations.
 type nodeZones struct {
 	deployment.Position
 	Node      string                          `json:"node"`
 	Evacuated map[string]deployment.Evacuated `json:"evacuated"`
 }
 
-// Validate names every wrong setting at once.
+// Validate reports every invalid setting at once.
 func (c *zonesCommand) Validate() error { return checkSettings(c) }
 
-// Run prints a row for each node and zone that it takes for evacuated, and one for
-// each node that takes none. Nodes that did not answer are an error, after the rows
-// of the others.
+// Run prints a row for each node and zone that the node considers evacuated, and one
+// for each node without such a zone. Errors of nodes that did not answer are returned
+// after the rows of the others are printed.
 func (c *zonesCommand) Run() error {
 	var rows [][]string
 	var errs []error
