--- a/internal/builtin/builtin.go
+++ b/internal/builtin/builtin.go
@@ -1,5 +1,5 @@
 // Package builtin lists the kernel plug-ins that every node runs, with their
-// defaults. The root package and the replay both start from it.
+// defaults. The root package and the replay both use it.
 package builtin
 
 import (
@@ -28,8 +28,8 @@
 	Poison     poison.Config
 }
 
-// New returns a kernel with the built-in plug-ins and the given further ones,
-// and the gate whose loads it spreads.
+// New returns a kernel with the built-in plug-ins and further ones, and the gate
+// that grants permits. The pool plug-in sends the gate's loads to other nodes.
 func New(self kernel.Node, c Config, more ...kernel.Extension) (*kernel.Kernel, *gate.Gate) {
 	var k *kernel.Kernel
 	c.Gate.View = func() *kernel.View { return k.View() }
