--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,6 +1,6 @@
-// Package examples holds the deployments of the first users, at the sizes they
-// run today: manifest, instances and settings. The demo and the tests of the
-// whole path run them.
+// Package examples holds the deployments of the first users at their present
+// sizes: manifest, instances and settings. The demo and the end-to-end tests run
+// them.
 package examples
 
 import (
@@ -20,8 +20,7 @@
 )
 
 var (
-	// ErrExample is returned where there is no such example or it cannot be
-	// read.
+	// ErrExample is returned if an example does not exist or cannot be read.
 	ErrExample = errors.New("examples: bad example")
 
 	//go:embed thies karamanlis
@@ -32,12 +31,12 @@
 	// Example is one deployment.
 	Example struct {
 		Manifest *manifest.Manifest
-		// Settings is the environment of its first node, as an env file.
+		// Settings is the env file of its first node.
 		Settings []byte
 		Instances
 	}
 
-	// Instances is what runs in a deployment.
+	// Instances is the nodes and endpoints of a deployment.
 	Instances struct {
 		Nodes     []Instance `json:"nodes"`
 		Endpoints []Instance `json:"endpoints"`
@@ -51,7 +50,7 @@
 	}
 )
 
-// Load returns the example with the given name. The manifest may be changed.
+// Load returns the example with the given name. The caller may modify the manifest.
 func Load(name string) (Example, error) {
 	text, errText := files.ReadFile(name + "/manifest.json")
 	list, errList := files.ReadFile(name + "/instances.json")
