--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment drives one or two builds of the router fleet with the load
-// and faults of a plan, and compares what callers saw.
+// Command experiment drives one or more builds of the router fleet with the load and
+// faults of a plan, and compares what callers observed.
 package main
 
 import (
@@ -38,7 +38,7 @@
 	}
 	var results []*experiment.Result
 	for _, program := range c.Program {
-		r, err := c.one(plan, program)
+		r, err := c.runProgram(plan, program)
 		if err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 	return c.write(results)
 }
 
-func (c *command) one(plan *experiment.Plan, program string) (*experiment.Result, error) {
+func (c *command) runProgram(plan *experiment.Plan, program string) (*experiment.Result, error) {
 	folder, err := experiment.Folder(c.Logs, program)
 	if err != nil {
 		return nil, err
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs the router fleet as real processes under injected faults,
-// seed after seed, and tells which promises were broken.
+// Command soak runs the router fleet as real processes under injected faults, seed
+// after seed, and reports which guarantees were violated.
 package main
 
 import (
@@ -40,12 +40,12 @@
 	}
 	var errs []error
 	for n := range c.Seeds {
-		errs = append(errs, c.one(seed+uint64(n)))
+		errs = append(errs, c.runSeed(seed+uint64(n)))
 	}
 	return errors.Join(errs...)
 }
 
-func (c *command) one(seed uint64) error {
+func (c *command) runSeed(seed uint64) error {
 	folder, err := soak.Folder(c.Folder, seed)
 	if err != nil {
 		return err
--- a/internal/experiment/callers.go
+++ b/internal/experiment/callers.go
@@ -16,36 +16,38 @@
 )
 
 const (
-	// keepAddresses is how long callers keep what a directory said.
-	keepAddresses = time.Second
-	// idleConnections is how many connections callers keep to a node.
-	idleConnections = 64
+	// addressTTL is how long callers cache a directory's answer.
+	addressTTL = time.Second
+	// maxIdleConns is how many idle connections callers keep to a node.
+	maxIdleConns = 64
 )
 
 type (
-	// callers ask at the plan's rate, whether earlier requests were answered or
-	// not.
+	// callers send requests at the plan's rate, whether earlier requests were answered
+	// or not.
 	callers struct {
 		run    *run
 		client *http.Client
-		// random is used by the goroutine that draws requests alone.
+		// random is used only by the goroutine that draws requests.
 		random *rand.Rand
-		// parts are the accounts' parts of the requests, summed up.
-		parts []float64
+		// cumulativeShares are the running sums of the accounts' shares of the
+		// requests.
+		cumulativeShares []float64
 
 		mu        sync.Mutex
 		addresses []netip.AddrPort
-		until     time.Time
+		expires   time.Time
 	}
 
-	// outcome is what became of a request.
+	// outcome is the result of one request.
 	outcome struct {
 		request string
 		at      time.Duration
 		status  int
-		// first is when the first byte came, and whole says that all did.
-		first time.Duration
-		whole bool
+		// firstByte is the time until the first byte arrived, and complete says that
+		// all bytes did.
+		firstByte time.Duration
+		complete  bool
 	}
 )
 
@@ -53,18 +55,18 @@
 	p := r.config.Plan
 	c := &callers{
 		run: r, random: rand.New(rand.NewPCG(p.Seed, 0)),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}},
 	}
 	total := 0.0
 	for n := range p.Accounts {
 		total += math.Pow(float64(n+1), -p.Skew)
-		c.parts = append(c.parts, total)
+		c.cumulativeShares = append(c.cumulativeShares, total)
 	}
 	return c
 }
 
-// ask asks until ctx ends, and waits for the answers.
-func (c *callers) ask(ctx context.Context) {
+// sendRequests sends requests until ctx ends, and waits for the answers.
+func (c *callers) sendRequests(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for n := 0; ; n++ {
@@ -72,13 +74,13 @@
 		if !wait(ctx, time.Duration(pause*float64(time.Second))) {
 			return
 		}
-		r, k, id := c.draw(), c.account(), fmt.Sprint("q", n)
-		group.Go(func() { c.run.result.note(c.once(ctx, r, k, id)) })
+		r, k, id := c.drawRequest(), c.drawAccount(), fmt.Sprint("q", n)
+		group.Go(func() { c.run.result.addOutcome(c.send(ctx, r, k, id)) })
 	}
 }
 
-// draw draws a kind of request.
-func (c *callers) draw() Request {
+// drawRequest draws a kind of request by the plan's shares.
+func (c *callers) drawRequest() Request {
 	plan, at := c.run.config.Plan, time.Since(c.run.began)
 	total := 0.0
 	for _, r := range plan.Requests {
@@ -93,20 +95,20 @@
 	return plan.Requests[len(plan.Requests)-1]
 }
 
-// account draws an account.
-func (c *callers) account() int {
-	drawn := c.random.Float64() * c.parts[len(c.parts)-1]
-	for n, sum := range c.parts {
+// drawAccount draws an account by its share.
+func (c *callers) drawAccount() int {
+	drawn := c.random.Float64() * c.cumulativeShares[len(c.cumulativeShares)-1]
+	for n, sum := range c.cumulativeShares {
 		if drawn < sum {
 			return n
 		}
 	}
-	return len(c.parts) - 1
+	return len(c.cumulativeShares) - 1
 }
 
-// once asks one request. It goes on past the end of the run, so that what was
-// asked late is answered too.
-func (c *callers) once(ctx context.Context, r Request, account int, id string) outcome {
+// send sends one request. It continues past the end of the run, so that requests sent
+// late are answered too.
+func (c *callers) send(ctx context.Context, r Request, account int, id string) outcome {
 	o := outcome{request: r.Name, at: time.Since(c.run.began)}
 	addr, err := c.address()
 	if err != nil {
@@ -129,17 +131,17 @@
 	if _, err := io.ReadFull(resp.Body, begin[:]); err != nil && !errors.Is(err, io.EOF) {
 		return o
 	}
-	o.first = time.Since(c.run.began) - o.at
+	o.firstByte = time.Since(c.run.began) - o.at
 	_, err = io.Copy(io.Discard, resp.Body)
-	o.whole = err == nil
+	o.complete = err == nil
 	return o
 }
 
-// address draws one of the addresses that a directory named lately.
+// address returns a random address of those that a directory listed recently.
 func (c *callers) address() (netip.AddrPort, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().After(c.until) {
+	if time.Now().After(c.expires) {
 		c.resolve()
 	}
 	if len(c.addresses) == 0 {
@@ -148,20 +150,20 @@
 	return c.addresses[rand.IntN(len(c.addresses))], nil
 }
 
-// resolve asks the directories by turns until one answers; what is known stays
-// where none does.
+// resolve asks the directories in random order until one answers. If none does, the
+// known addresses stay.
 func (c *callers) resolve() {
 	for _, i := range rand.Perm(len(c.run.nodes)) {
 		if list, _, err := standin.Resolve(c.run.nodes[i].Directory()); err == nil {
-			c.addresses, c.until = list, time.Now().Add(keepAddresses)
+			c.addresses, c.expires = list, time.Now().Add(addressTTL)
 			return
 		}
 	}
 }
 
-// forget makes the next request ask for addresses.
+// forget makes the next request resolve the addresses again.
 func (c *callers) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expires = time.Time{}
 }
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -10,9 +10,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/chart"
 )
 
-// Charts writes latency.svg, the 95th percentile of each second's first bytes,
-// and load.svg, the most loaded endpoint and the mean of each service, to a
-// folder: one line a build.
+// Charts writes two files to a folder, with one line per build: latency.svg, the 95th
+// percentile of the time to the first byte in each second, and load.svg, the load of
+// the most loaded endpoint and the mean of each service.
 func Charts(folder string, names []string, results []*Result) error {
 	var latencies, loads []chart.Line
 	for b, r := range results {
@@ -36,7 +36,7 @@
 	return list
 }
 
-// services names the services in the order of the samples.
+// services returns the names of the services in the order of the samples.
 func services(r *Result) []string {
 	var list []string
 	seen := map[string]bool{}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/experiment"
 )
 
-const short = `
+const planText = `
 nodes = 2
 length = "3s"
 rate = 60.0
@@ -55,37 +55,37 @@
 count = 1
 `
 
-func TestPlansThatCannotBePlayed(t *testing.T) {
+func TestParseInvalidPlans(t *testing.T) {
 	cases := []struct {
-		name string
-		old  string
-		new  string
-		says string
+		name    string
+		old     string
+		new     string
+		wantErr string
 	}{
-		{name: "no TOML", old: "nodes = 2", new: "nodes = ", says: "expected value"},
-		{name: "an unknown field", old: "nodes = 2", new: "nodes = 2\nnoodles = 3", says: "unknown field noodles"},
-		{name: "no nodes", old: "nodes = 2", new: "nodes = 0", says: "must be positive"},
-		{name: "a length without unit", old: `"3s"`, new: `"3"`, says: "invalid duration"},
-		{name: "a service without slots", old: "slots = 6", new: "slots = 0", says: `service "plain"`},
-		{name: "a service that there is not", old: `service = "plain"`, new: `service = "none"`, says: "which there is not"},
-		{name: "an unknown kind of request", old: `"idempotent"`, new: `"twice"`, says: `of kind "twice"`},
-		{name: "a stream without events", old: "events = 4", new: "", says: "do not agree on events"},
-		{name: "an unknown fault", old: `"kill"`, new: `"flood"`, says: `fault of kind "flood"`},
-		{name: "a fault that strikes nothing", old: "count = 1", new: "", says: "needs a count"},
-		{name: "a shift of nothing", old: "[[fault]]", new: "[[shift]]\nat = \"1s\"\n[shift.share]\nnone = 1.0\n[[fault]]", says: `request "none"`},
-		{name: "shifts out of order", old: "[[fault]]", new: "[[shift]]\nat = \"2s\"\n[[shift]]\nat = \"1s\"\n[[fault]]", says: "in their order"},
+		{name: "no TOML", old: "nodes = 2", new: "nodes = ", wantErr: "expected value"},
+		{name: "an unknown field", old: "nodes = 2", new: "nodes = 2\nnoodles = 3", wantErr: "unknown field noodles"},
+		{name: "no nodes", old: "nodes = 2", new: "nodes = 0", wantErr: "must be positive"},
+		{name: "a length without unit", old: `"3s"`, new: `"3"`, wantErr: "invalid duration"},
+		{name: "a service without slots", old: "slots = 6", new: "slots = 0", wantErr: `service "plain"`},
+		{name: "an unknown service", old: `service = "plain"`, new: `service = "none"`, wantErr: `unknown service "none"`},
+		{name: "an unknown kind of request", old: `"idempotent"`, new: `"twice"`, wantErr: `unknown kind "twice"`},
+		{name: "a stream without events", old: "events = 4", new: "", wantErr: "do not agree on whether to stream events"},
+		{name: "an unknown fault", old: `"kill"`, new: `"flood"`, wantErr: `unknown fault kind "flood"`},
+		{name: "a fault without a count", old: "count = 1", new: "", wantErr: "needs a count"},
+		{name: "a shift of an unknown request", old: "[[fault]]", new: "[[shift]]\nat = \"1s\"\n[shift.share]\nnone = 1.0\n[[fault]]", wantErr: `request "none"`},
+		{name: "shifts out of order", old: "[[fault]]", new: "[[shift]]\nat = \"2s\"\n[[shift]]\nat = \"1s\"\n[[fault]]", wantErr: "in order of time"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Contains(t, short, c.old)
-			_, err := experiment.Parse(strings.Replace(short, c.old, c.new, 1))
+			require.Contains(t, planText, c.old)
+			_, err := experiment.Parse(strings.Replace(planText, c.old, c.new, 1))
 			require.ErrorIs(t, err, experiment.ErrPlan)
-			require.ErrorContains(t, err, c.says)
+			require.ErrorContains(t, err, c.wantErr)
 		})
 	}
 }
 
-func TestPlansOfTheRepository(t *testing.T) {
+func TestParseRepositoryPlans(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/experiments/*.toml")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
@@ -97,13 +97,14 @@
 	}
 }
 
-// Real processes, one of them killed: all that is asked is counted once, and most
-// of it served.
+// TestRun runs real processes and kills one of them. It guards against requests that
+// are counted twice or not at all, and against a fleet that serves at most half of
+// them.
 func TestRun(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "bulrushhinge")
 	out, err := exec.Command("go", "build", "-o", program, "bulrushhinge.example/bulrushhinge/cmd/bulrushhinge").CombinedOutput()
 	require.NoError(t, err, string(out))
-	plan, err := experiment.Parse(short)
+	plan, err := experiment.Parse(planText)
 	require.NoError(t, err)
 	r, err := experiment.Run(context.Background(), experiment.Config{Plan: plan, Program: program, Folder: t.TempDir()})
 	require.NoError(t, err)
@@ -141,9 +142,10 @@
 	require.Zero(t, r.Skew("none"))
 }
 
-// The work of a plan changes at its shifts: what one does not name goes on as before.
-func TestShiftsOfTheWork(t *testing.T) {
-	p, err := experiment.Parse(short + `
+// TestShifts guards against a shift that resets what it does not name: an unnamed rate
+// or share stays as before.
+func TestShifts(t *testing.T) {
+	p, err := experiment.Parse(planText + `
 [[shift]]
 at = "1s"
 rate = 90.0
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,5 +1,6 @@
-// Package experiment drives the real program, as processes before stand-ins,
-// with a load and faults from a plan, and reports what callers saw.
+// Package experiment drives processes of the real program, with stand-ins for the store
+// and the endpoints, by the load and faults of a plan, and reports what callers
+// observed.
 package experiment
 
 import (
@@ -13,18 +14,18 @@
 	"bulrushhinge.example/bulrushhinge/internal/deployment"
 )
 
-// ErrPlan is returned for a plan that cannot be played.
+// ErrPlan is returned for an invalid plan.
 var ErrPlan = errors.New("experiment: plan")
 
 // Kinds of faults.
 const (
-	// FaultKill kills nodes and starts them again, FaultStop does so as planned,
-	// and FaultPause lets them stand still.
+	// FaultKill kills nodes and starts them again, FaultStop does so with a planned
+	// stop, and FaultPause suspends them.
 	FaultKill  = "kill"
 	FaultStop  = "stop"
 	FaultPause = "pause"
-	// FaultCrash makes endpoints break off for a time, and FaultOutage the store
-	// refuse all calls.
+	// FaultCrash makes endpoints break off their answers for a time, and FaultOutage
+	// makes the store refuse all calls.
 	FaultCrash  = "crash"
 	FaultOutage = "outage"
 	// FaultBurst multiplies the rate.
@@ -32,16 +33,16 @@
 )
 
 type (
-	// Plan is one experiment.
+	// Plan describes one experiment.
 	Plan struct {
 		// Nodes is how many processes of the program run.
 		Nodes int `toml:"nodes"`
-		// Length is how long callers ask.
+		// Length is how long callers send requests.
 		Length time.Duration `toml:"length"`
-		// Rate is the requests a second.
+		// Rate is the number of requests a second.
 		Rate float64 `toml:"rate"`
-		// Accounts is how many client accounts ask, and Skew the exponent of the
-		// Zipf distribution of their parts; 0 for even ones.
+		// Accounts is the number of client accounts that send requests, and Skew the
+		// exponent of the Zipf distribution of their shares; 0 for equal shares.
 		Accounts int     `toml:"accounts"`
 		Skew     float64 `toml:"skew"`
 		Seed     uint64  `toml:"seed"`
@@ -49,16 +50,16 @@
 		Services []Service `toml:"service"`
 		Requests []Request `toml:"request"`
 		Faults   []Fault   `toml:"fault"`
-		// Shifts change the work in the midst of the run, in their order.
+		// Shifts change the load during the run, in order of time.
 		Shifts []Shift `toml:"shift"`
 	}
 
-	// Shift changes the work for the rest of the run, or until the next one.
+	// Shift changes the load for the rest of the run, or until the next shift.
 	Shift struct {
 		At time.Duration `toml:"at"`
-		// Rate is the requests a second from then on; 0 for as before.
+		// Rate is the number of requests a second from then on; 0 leaves it unchanged.
 		Rate float64 `toml:"rate"`
-		// Shares are the parts of some requests from then on, by their names.
+		// Shares are the new shares of some requests, by request name.
 		Shares map[string]float64 `toml:"share"`
 	}
 
@@ -70,7 +71,7 @@
 		Queue     int    `toml:"queue"`
 		// Work is how long a plain answer takes, or the time between two events.
 		Work time.Duration `toml:"work"`
-		// Events is how many a stream has; 0 for plain answers.
+		// Events is the number of events of a stream; 0 for plain answers.
 		Events int `toml:"events"`
 	}
 
@@ -80,22 +81,22 @@
 		Service string `toml:"service"`
 		// Kind is once, idempotent, stream or resumable.
 		Kind string `toml:"kind"`
-		// Share is its part of the requests, against those of the others.
+		// Share is the weight of this request relative to the others.
 		Share float64 `toml:"share"`
-		// Objective is when the first byte is due, and Timeout when the answer is
-		// given up.
+		// Objective is when the first byte is due, and Timeout when the caller gives
+		// up.
 		Objective time.Duration `toml:"objective"`
 		Timeout   time.Duration `toml:"timeout"`
 	}
 
-	// Fault is something that goes wrong.
+	// Fault is an injected fault.
 	Fault struct {
 		Kind string        `toml:"kind"`
 		At   time.Duration `toml:"at"`
 		// For is how long it lasts.
 		For time.Duration `toml:"for"`
-		// Count is how many nodes or endpoints it strikes, and Times by what a
-		// burst multiplies the rate.
+		// Count is the number of nodes or endpoints affected, and Times the factor by
+		// which a burst multiplies the rate.
 		Count int     `toml:"count"`
 		Times float64 `toml:"times"`
 	}
@@ -126,7 +127,7 @@
 		return fmt.Errorf("%w: nodes, length, rate and accounts must be positive", ErrPlan)
 	}
 	if len(p.Services) == 0 || len(p.Requests) == 0 {
-		return fmt.Errorf("%w: it needs a service and a request", ErrPlan)
+		return fmt.Errorf("%w: a service and a request are required", ErrPlan)
 	}
 	for _, s := range p.Services {
 		if s.Name == "" || s.Endpoints < 1 || s.Slots < 1 || s.Queue < 0 || s.Work <= 0 {
@@ -150,7 +151,7 @@
 	at := time.Duration(0)
 	for _, s := range p.Shifts {
 		if s.At < at || s.Rate < 0 {
-			return fmt.Errorf("%w: shifts need times in their order, and rates over 0", ErrPlan)
+			return fmt.Errorf("%w: shifts must be in order of time, without negative rates", ErrPlan)
 		}
 		at = s.At
 		for name, share := range s.Shares {
@@ -170,11 +171,11 @@
 	case r.Name == "" || r.Share <= 0 || r.Objective <= 0 || r.Timeout <= 0:
 		return fmt.Errorf("%w: request %q needs a name, share, objective and timeout", ErrPlan, r.Name)
 	case !ok:
-		return fmt.Errorf("%w: request %q asks service %q, which there is not", ErrPlan, r.Name, r.Service)
+		return fmt.Errorf("%w: request %q uses unknown service %q", ErrPlan, r.Name, r.Service)
 	case !known:
-		return fmt.Errorf("%w: request %q is of kind %q", ErrPlan, r.Name, r.Kind)
+		return fmt.Errorf("%w: request %q has unknown kind %q", ErrPlan, r.Name, r.Kind)
 	case kind.Streams() != (s.Events > 0):
-		return fmt.Errorf("%w: request %q and service %q do not agree on events", ErrPlan, r.Name, r.Service)
+		return fmt.Errorf("%w: request %q and service %q do not agree on whether to stream events", ErrPlan, r.Name, r.Service)
 	}
 	return nil
 }
@@ -183,7 +184,7 @@
 	known := []string{FaultKill, FaultStop, FaultPause, FaultCrash, FaultOutage, FaultBurst}
 	switch {
 	case !slices.Contains(known, f.Kind):
-		return fmt.Errorf("%w: fault of kind %q", ErrPlan, f.Kind)
+		return fmt.Errorf("%w: unknown fault kind %q", ErrPlan, f.Kind)
 	case f.At < 0 || f.For <= 0:
 		return fmt.Errorf("%w: %s needs a time and a length", ErrPlan, f.Kind)
 	case f.Kind == FaultBurst && f.Times <= 0:
@@ -203,7 +204,7 @@
 	return Service{}, false
 }
 
-// RateAt is the requests a second at a time since the start.
+// RateAt returns the requests a second at a time since the start.
 func (p *Plan) RateAt(at time.Duration) float64 {
 	rate := p.Rate
 	for _, s := range p.Shifts {
@@ -219,8 +220,8 @@
 	return rate
 }
 
-// ShareAt is a request's part of all at a time since the start, against those of
-// the others.
+// ShareAt returns the weight of a request relative to the others, at a time since the
+// start.
 func (p *Plan) ShareAt(r Request, at time.Duration) float64 {
 	share := r.Share
 	for _, s := range p.Shifts {
@@ -231,7 +232,7 @@
 	return share
 }
 
-// config is the deployment's configuration.
+// config returns the deployment's configuration.
 func (p *Plan) config() *deployment.Config {
 	const connections = 400
 	c := &deployment.Config{
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// Latencies are kept from 1 microsecond to a minute, by three digits.
-	leastLatency  = 1
-	mostLatency   = int64(time.Minute / time.Microsecond)
+	// Latencies are recorded in microseconds, from 1 microsecond to a minute, with
+	// three significant digits.
+	minLatency    = 1
+	maxLatency    = int64(time.Minute / time.Microsecond)
 	latencyDigits = 3
 )
 
 type (
-	// Result is what callers saw of one run.
+	// Result is what callers observed in one run.
 	Result struct {
 		Requests []Class `json:"requests"`
-		// Seconds are the same requests by the second in which they were asked.
+		// Seconds are the same requests by the second in which they were sent.
 		Seconds []Second `json:"seconds"`
 		Loads   []Load   `json:"loads"`
 	}
 
-	// Class is what became of the requests of one kind.
+	// Class sums up the requests of one kind.
 	Class struct {
 		Name  string `json:"name"`
 		Asked int    `json:"asked"`
-		// Timely were answered whole, with the first byte within the objective;
-		// Late were answered whole later; Refused were told when to come back;
-		// Failed are all others.
+		// Timely were answered completely, with the first byte within the objective;
+		// Late were answered completely, but later; Refused got 503 or 429, which tell
+		// the caller when to retry; Failed are all others.
 		Timely  int `json:"timely"`
 		Late    int `json:"late"`
 		Refused int `json:"refused"`
 		Failed  int `json:"failed"`
-		// P50, P95 and P99 are of the time to the first byte.
+		// P50, P95 and P99 are percentiles of the time to the first byte.
 		P50 time.Duration `json:"p50"`
 		P95 time.Duration `json:"p95"`
 		P99 time.Duration `json:"p99"`
@@ -53,7 +54,7 @@
 		P95    time.Duration `json:"p95"`
 	}
 
-	// Load is the endpoints' load of a service at one moment.
+	// Load is the highest and mean load of a service's endpoints at one moment.
 	Load struct {
 		Service string        `json:"service"`
 		At      time.Duration `json:"at"`
@@ -61,7 +62,7 @@
 		Mean    float64       `json:"mean"`
 	}
 
-	// recorder gathers outcomes.
+	// recorder collects outcomes and loads.
 	recorder struct {
 		plan     *Plan
 		mu       sync.Mutex
@@ -72,19 +73,19 @@
 
 func newRecorder(p *Plan) *recorder { return &recorder{plan: p} }
 
-func (r *recorder) note(o outcome) {
+func (r *recorder) addOutcome(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcomes = append(r.outcomes, o)
 }
 
-func (r *recorder) load(service string, at time.Duration, most int, mean float64) {
+func (r *recorder) addLoad(service string, at time.Duration, most int, mean float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loads = append(r.loads, Load{Service: service, At: at, Most: most, Mean: mean})
 }
 
-// result sums up what was noted.
+// result sums up what was recorded.
 func (r *recorder) result() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +108,7 @@
 		}
 		c.Asked++
 		switch {
-		case o.served() && o.first <= q.Objective:
+		case o.served() && o.firstByte <= q.Objective:
 			c.Timely++
 		case o.served():
 			c.Late++
@@ -117,7 +118,7 @@
 			c.Failed++
 		}
 		if o.served() {
-			record(h, o.first)
+			record(h, o.firstByte)
 		}
 	}
 	c.P50, c.P95, c.P99 = quantile(h, 50), quantile(h, 95), quantile(h, 99)
@@ -134,30 +135,31 @@
 		s.Asked++
 		if o.served() {
 			s.Served++
-			record(h, o.first)
+			record(h, o.firstByte)
 		}
 	}
 	s.P95 = quantile(h, 95)
 	return s
 }
 
-func (o outcome) served() bool { return o.status == http.StatusOK && o.whole }
+func (o outcome) served() bool { return o.status == http.StatusOK && o.complete }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastLatency, mostLatency, latencyDigits)
+	return hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 }
 
-// record notes a latency; one beyond the histogram's range counts as its bound.
+// record records a latency; one outside the histogram's range counts as the nearest
+// limit.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), leastLatency), mostLatency))
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatency), maxLatency))
 }
 
 func quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Skew is the greatest multiple of the mean that the most loaded endpoint of a
-// service had in 95 of 100 samples, of those with a mean of one or more.
+// Skew returns the 95th percentile of the ratio of the most loaded endpoint of a
+// service to the mean, over the samples with a mean of one or more.
 func (r *Result) Skew(service string) float64 {
 	var list []float64
 	for _, l := range r.Loads {
@@ -172,7 +174,7 @@
 	return list[(len(list)-1)*95/100]
 }
 
-// Table writes the results of builds, one row a kind of request and build.
+// Table writes the results of builds, one row per kind of request and build.
 func Table(w io.Writer, names []string, results []*Result) error {
 	t := tablewriter.NewWriter(w)
 	t.Header("request", "build", "asked", "timely", "late", "refused", "failed", "p50", "p95", "p99")
@@ -182,8 +184,8 @@
 	for i := range results[0].Requests {
 		for b, r := range results {
 			c := r.Requests[i]
-			err := t.Append(c.Name, names[b], strconv.Itoa(c.Asked), share(c.Timely, c.Asked), share(c.Late, c.Asked),
-				share(c.Refused, c.Asked), share(c.Failed, c.Asked), shown(c.P50), shown(c.P95), shown(c.P99))
+			err := t.Append(c.Name, names[b], strconv.Itoa(c.Asked), percentage(c.Timely, c.Asked), percentage(c.Late, c.Asked),
+				percentage(c.Refused, c.Asked), percentage(c.Failed, c.Asked), formatLatency(c.P50), formatLatency(c.P95), formatLatency(c.P99))
 			if err != nil {
 				return fmt.Errorf("experiment: table: %w", err)
 			}
@@ -195,6 +197,6 @@
 	return nil
 }
 
-func share(n, of int) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(of, 1))) }
+func percentage(n, of int) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(of, 1))) }
 
-func shown(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
+func formatLatency(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// sampleInterval is how often the endpoints' loads are read.
+	// sampleInterval is how often the endpoints' loads are sampled.
 	sampleInterval = 100 * time.Millisecond
-	// meetTimeout bounds the time until all nodes know each other.
-	meetTimeout = time.Minute
-	// grace is how long a node that is stopped as planned may go on, and drain
-	// within what time a leaving endpoint must get nothing more: what the users'
-	// installations have.
-	grace = 8 * time.Second
-	drain = 2 * time.Second
-	slack = 56
+	// joinTimeout bounds the time until all nodes know each other.
+	joinTimeout = time.Minute
+	// grace is how long a node may go on after a planned stop, and drain how soon a
+	// leaving endpoint must receive no more requests; the values are those of the
+	// users' installations.
+	grace      = 8 * time.Second
+	drain      = 2 * time.Second
+	retrySlack = 56
 	// streamPrefix begins the paths that the stand-ins answer with events.
 	streamPrefix = "/stream/"
 )
@@ -38,12 +38,12 @@
 var host = standin.Host()
 
 type (
-	// Config is the settings of a run.
+	// Config holds the settings of a run.
 	Config struct {
 		Plan *Plan
 		// Program is the path of the program.
 		Program string
-		// Folder takes settings and logs.
+		// Folder receives the nodes' settings and logs.
 		Folder string
 	}
 
@@ -59,7 +59,7 @@
 	}
 )
 
-// Run plays a plan and returns what callers saw.
+// Run executes a plan and returns what callers observed.
 func Run(ctx context.Context, c Config) (*Result, error) {
 	r := &run{
 		config: c, network: fmt.Sprintf("127.%d.%d.", 192+rand.IntN(62), 1+rand.IntN(250)),
@@ -73,17 +73,17 @@
 	defer cancel()
 	r.began = time.Now()
 	var group sync.WaitGroup
-	group.Go(func() { newCallers(r).ask(ctx) })
+	group.Go(func() { newCallers(r).sendRequests(ctx) })
 	group.Go(func() { periodic.Run(ctx, sampleInterval, r.sample) })
 	errs := make([]error, len(c.Plan.Faults))
 	for i, f := range c.Plan.Faults {
-		group.Go(func() { errs[i] = r.strike(ctx, f) })
+		group.Go(func() { errs[i] = r.inject(ctx, f) })
 	}
 	group.Wait()
 	return r.result.result(), errors.Join(errs...)
 }
 
-// start starts the stand-ins, then the nodes, and waits until these know each
+// start starts the stand-ins, then the nodes, and waits until all nodes know each
 // other.
 func (r *run) start() error {
 	store, err := r.serve(r.store)
@@ -109,7 +109,7 @@
 			Program: r.config.Program, Folder: r.config.Folder,
 			Settings: standin.Settings{
 				Node: fmt.Sprint("n", n+1), IP: r.ip(n + 1), Port: port, Seeds: []netip.Addr{r.ip(1)}, Store: store,
-				Drain: drain, Grace: grace, RetrySlack: slack,
+				Drain: drain, Grace: grace, RetrySlack: retrySlack,
 			},
 		}
 		r.nodes = append(r.nodes, p)
@@ -117,10 +117,10 @@
 			return err
 		}
 	}
-	return fleet.Meet(r.settings(), meetTimeout)
+	return fleet.WaitForMembers(r.settings(), joinTimeout)
 }
 
-// settings are those of the nodes.
+// settings returns the nodes' settings.
 func (r *run) settings() []standin.Settings {
 	var list []standin.Settings
 	for _, n := range r.nodes {
@@ -131,7 +131,7 @@
 
 func (r *run) ip(n int) netip.Addr { return netip.MustParseAddr(fmt.Sprint(r.network, n)) }
 
-// serve serves a handler on an address of the run's own.
+// serve serves a handler on a free port of the run's own network.
 func (r *run) serve(h http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp4", r.network+"250:0")
 	if err != nil {
@@ -139,7 +139,7 @@
 	}
 	server := &http.Server{Handler: h}
 	r.servers = append(r.servers, server)
-	// It returns when the run closes it.
+	// Serve returns when the run closes the server.
 	go func() { _ = server.Serve(l) }()
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// sample notes the endpoints' loads.
+// sample records the endpoints' loads.
 func (r *run) sample(now time.Time) {
 	for _, s := range r.config.Plan.Services {
 		most, total := 0, 0
@@ -167,12 +167,12 @@
 			load := e.Present()
 			most, total = max(most, load), total+load
 		}
-		r.result.load(s.Name, now.Sub(r.began), most, float64(total)/float64(s.Endpoints))
+		r.result.addLoad(s.Name, now.Sub(r.began), most, float64(total)/float64(s.Endpoints))
 	}
 }
 
-// strike causes a fault at its time, and ends it.
-func (r *run) strike(ctx context.Context, f Fault) error {
+// inject causes a fault at its time, and ends it.
+func (r *run) inject(ctx context.Context, f Fault) error {
 	if !wait(ctx, f.At) {
 		return nil
 	}
@@ -183,14 +183,14 @@
 		defer r.store.Down(false)
 		wait(ctx, f.For)
 	case FaultCrash:
-		r.crash(ctx, f, random)
+		r.crashEndpoints(ctx, f, random)
 	case FaultKill, FaultStop, FaultPause:
-		return r.strikeNodes(ctx, f, random)
+		return r.injectNodeFault(ctx, f, random)
 	}
 	return nil
 }
 
-func (r *run) crash(ctx context.Context, f Fault, random *rand.Rand) {
+func (r *run) crashEndpoints(ctx context.Context, f Fault, random *rand.Rand) {
 	var all []*standin.Endpoint
 	for _, s := range r.config.Plan.Services {
 		all = append(all, r.endpoints[s.Name]...)
@@ -203,7 +203,7 @@
 	wait(ctx, f.For)
 }
 
-func (r *run) strikeNodes(ctx context.Context, f Fault, random *rand.Rand) error {
+func (r *run) injectNodeFault(ctx context.Context, f Fault, random *rand.Rand) error {
 	signals := map[string][2]syscall.Signal{
 		FaultKill: {syscall.SIGKILL, 0}, FaultStop: {syscall.SIGTERM, 0}, FaultPause: {syscall.SIGSTOP, syscall.SIGCONT},
 	}[f.Kind]
@@ -218,16 +218,16 @@
 			r.nodes[i].Signal(signals[1])
 			continue
 		}
-		if !r.nodes[i].Gone(grace) {
+		if !r.nodes[i].WaitExit(grace) {
 			r.nodes[i].Signal(syscall.SIGKILL)
-			r.nodes[i].Gone(grace)
+			r.nodes[i].WaitExit(grace)
 		}
 		errs = append(errs, r.nodes[i].Start())
 	}
 	return errors.Join(errs...)
 }
 
-// end ends what the run started, and nothing else.
+// end stops the processes and servers that the run started, and nothing else.
 func (r *run) end() {
 	for _, n := range r.nodes {
 		n.Signal(syscall.SIGCONT)
@@ -238,7 +238,7 @@
 	}
 }
 
-// prefix is the path of a kind of request.
+// prefix returns the path prefix of a kind of request.
 func (r Request) prefix() string {
 	if kinds[r.Kind].Streams() {
 		return streamPrefix + r.Name + "/"
@@ -246,7 +246,7 @@
 	return "/" + r.Name + "/"
 }
 
-// wait waits, and reports whether the run still goes on.
+// wait waits for d, and reports whether it elapsed before ctx ended.
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -256,7 +256,7 @@
 	}
 }
 
-// Folder returns a new folder for a run's settings and logs.
+// Folder creates a folder for a run's settings and logs.
 func Folder(base, name string) (string, error) {
 	path, err := os.MkdirTemp(base, "experiment-"+strings.ReplaceAll(name, string(os.PathSeparator), "-")+"-")
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// maxNamed is how many addresses a directory names at most.
-	maxNamed = 64
-	// meetPoll is how often the directories are asked.
-	meetPoll = 20 * time.Millisecond
+	// maxListed is the most addresses that a directory lists.
+	maxListed = 64
+	// pollInterval is how often the directories are polled.
+	pollInterval = 20 * time.Millisecond
 )
 
-// ErrApart is returned where nodes have not found each other.
-var ErrApart = errors.New("fleet: the nodes have not found each other")
+// ErrIncomplete is returned if the directories do not list all nodes in time.
+var ErrIncomplete = errors.New("fleet: the directories do not list all nodes")
 
-// Meet waits until the directory of each node names all of them, or as many as
-// it may.
-func Meet(nodes []standin.Settings, within time.Duration) error {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(meetPoll) {
-		met := 0
+// WaitForMembers waits until the directory of each node lists all of them, or as many
+// as a directory can. It returns ErrIncomplete on timeout.
+func WaitForMembers(nodes []standin.Settings, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		complete := 0
 		for _, n := range nodes {
-			if list, _, err := standin.Resolve(n.Directory()); err == nil && len(list) == min(len(nodes), maxNamed) {
-				met++
+			if list, _, err := standin.Resolve(n.Directory()); err == nil && len(list) == min(len(nodes), maxListed) {
+				complete++
 			}
 		}
-		if met == len(nodes) {
+		if complete == len(nodes) {
 			return nil
 		}
 	}
-	return ErrApart
+	return ErrIncomplete
 }
 
-// FreePort returns a port that was free at an address just now.
+// FreePort returns a port of ip that is free at the moment; it is not reserved.
 func FreePort(ip netip.Addr) (uint16, error) {
 	l, err := net.Listen("tcp4", netip.AddrPortFrom(ip, 0).String())
 	if err != nil {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -1,4 +1,4 @@
-// Package fleet runs the real program as processes on loopback, for the soak,
+// Package fleet runs the real program as processes on loopback, for soak runs,
 // experiments and tests.
 package fleet
 
@@ -15,10 +15,10 @@
 	"bulrushhinge.example/bulrushhinge/platform/standin"
 )
 
-// Process runs the real program as one node of an installation on loopback.
+// Process is one node of an installation on loopback, run by the real program.
 type Process struct {
 	standin.Settings
-	// Program is the program's path, and Folder takes settings and logs.
+	// Program is the program's path, and Folder receives settings and logs.
 	Program string
 	Folder  string
 
@@ -28,7 +28,8 @@
 	exited chan struct{}
 }
 
-// Start starts the program; each start has a log of its own.
+// Start writes the settings and starts the program; each start has a log file of its
+// own.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,15 +68,16 @@
 	}
 }
 
-// Gone waits until the process has ended, and reports whether it has in time.
-func (p *Process) Gone(within time.Duration) bool {
+// WaitExit waits until the process has exited, and reports whether it did before the
+// timeout.
+func (p *Process) WaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
 	select {
 	case <-exited:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,19 +11,19 @@
 )
 
 type (
-	// fault is one kind of trouble. It returns when the trouble is over.
+	// fault is a kind of fault. inject causes it and returns when it is over.
 	fault struct {
 		name    string
 		planned bool
-		strike  func(ctx context.Context, s *soak, r *rand.Rand) (what string)
+		inject  func(ctx context.Context, s *soak, r *rand.Rand) (what string)
 	}
 )
 
 var faults = []fault{
-	{name: "kill", strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "kill", inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		return s.restart(s.node(r), syscall.SIGKILL, time.Duration(r.IntN(2000))*time.Millisecond)
 	}},
-	{name: "kill many", strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "kill many", inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		var group sync.WaitGroup
 		for _, n := range s.nodes {
 			if r.IntN(2) == 0 {
@@ -33,92 +33,92 @@
 		group.Wait()
 		return "half of the nodes"
 	}},
-	{name: "stop", planned: true, strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "stop", planned: true, inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		return s.restart(s.node(r), syscall.SIGTERM, 0)
 	}},
-	{name: "hang up", planned: true, strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "hang up", planned: true, inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		n := s.node(r)
 		n.Signal(syscall.SIGHUP)
 		return n.Node
 	}},
-	{name: "pause", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "pause", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		n := s.node(r)
-		s.ledger.words.excuse(n.Node)
+		s.ledger.notices.recordPause(n.Node)
 		n.Signal(syscall.SIGSTOP)
 		wait(ctx, r, 4*time.Second)
 		n.Signal(syscall.SIGCONT)
-		s.ledger.words.excuse(n.Node)
+		s.ledger.notices.recordPause(n.Node)
 		return n.Node
 	}},
-	{name: "store down", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "store down", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		s.world.store.Down(true)
 		wait(ctx, r, 5*time.Second)
 		s.world.store.Down(false)
 		return "refuses all"
 	}},
-	{name: "store forgets", strike: func(_ context.Context, s *soak, _ *rand.Rand) string {
+	{name: "store forgets", inject: func(_ context.Context, s *soak, _ *rand.Rand) string {
 		s.world.store.Compact()
 		return "its history"
 	}},
-	{name: "store restored", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "store restored", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		if !s.restoring.TryLock() {
 			return ""
 		}
 		defer s.restoring.Unlock()
 		return s.world.restore(r, func(most time.Duration) { wait(ctx, r, most) })
 	}},
-	{name: "store cut", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "store cut", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		n := s.node(r)
-		return n.Node + " " + through(ctx, r, n.store)
+		return n.Node + " " + disrupt(ctx, r, n.storeProxy)
 	}},
-	{name: "callers cut", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "callers cut", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		n := s.node(r)
-		return n.Node + " " + through(ctx, r, n.front)
+		return n.Node + " " + disrupt(ctx, r, n.callerProxy)
 	}},
-	{name: "endpoint cut", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint cut", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
 		}
-		s.ledger.words.harm(e.id, true)
-		defer s.ledger.words.harm(e.id, false)
-		return e.id + " " + through(ctx, r, e.proxy)
+		s.ledger.notices.setImpaired(e.id, true)
+		defer s.ledger.notices.setImpaired(e.id, false)
+		return e.id + " " + disrupt(ctx, r, e.proxy)
 	}},
-	{name: "endpoint breaks off", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint breaks off", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
 		}
-		e.stand.Break(true)
+		e.standIn.Break(true)
 		wait(ctx, r, 2*time.Second)
-		e.stand.Break(false)
+		e.standIn.Break(false)
 		return e.id
 	}},
-	{name: "endpoint crashes", strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint crashes", inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
 		}
-		s.note(s.world.crash(e))
+		s.recordError(s.world.crash(e))
 		return e.id
 	}},
-	{name: "endpoint leaves", planned: true, strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint leaves", planned: true, inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
 		}
-		s.note(s.world.leave(e))
+		s.recordError(s.world.leave(e))
 		return e.id
 	}},
-	{name: "endpoint says that it leaves", planned: true, strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint says that it leaves", planned: true, inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
 		}
-		s.note(s.world.announce(e, func(most time.Duration) { wait(ctx, r, most) }))
+		s.recordError(s.world.announce(e, func(most time.Duration) { wait(ctx, r, most) }))
 		return e.id
 	}},
-	{name: "endpoint sheds", strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "endpoint sheds", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		e := s.world.pick(r)
 		if e == nil {
 			return ""
@@ -126,26 +126,26 @@
 		e.shed(r, func(most time.Duration) { wait(ctx, r, most) })
 		return e.id
 	}},
-	{name: "zone evacuated", planned: true, strike: func(ctx context.Context, s *soak, r *rand.Rand) string {
+	{name: "zone evacuated", planned: true, inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
 		zone := zones[r.IntN(len(zones))]
 		if !s.evacuating.TryLock() {
 			return ""
 		}
 		defer s.evacuating.Unlock()
-		s.note(s.world.evacuate(zone, func() { wait(ctx, r, 8*time.Second) }))
+		s.recordError(s.world.evacuate(zone, func() { wait(ctx, r, 8*time.Second) }))
 		return zone
 	}},
-	{name: "configuration", planned: true, strike: func(_ context.Context, s *soak, r *rand.Rand) string {
+	{name: "configuration", planned: true, inject: func(_ context.Context, s *soak, r *rand.Rand) string {
 		for range 1 + r.IntN(4) {
-			s.note(s.world.configure())
+			s.recordError(s.world.configure())
 			time.Sleep(time.Duration(r.IntN(300)) * time.Millisecond)
 		}
 		return fmt.Sprint("version ", s.ledger.newest())
 	}},
 }
 
-// chosen returns the faults of some names, all where there are none.
-func chosen(names []string) ([]fault, error) {
+// selectFaults returns the named faults, or all faults if no names are given.
+func selectFaults(names []string) ([]fault, error) {
 	if len(names) == 0 {
 		return faults, nil
 	}
@@ -160,16 +160,16 @@
 	return list, nil
 }
 
-// through makes a proxy misbehave for a while.
-func through(ctx context.Context, r *rand.Rand, p *proxy) string {
-	m := mode(1 + r.IntN(int(resets)))
+// disrupt sets a random failure mode on a proxy for a random time.
+func disrupt(ctx context.Context, r *rand.Rand, p *proxy) string {
+	m := mode(1 + r.IntN(int(modeReset)))
 	p.set(m)
 	wait(ctx, r, 4*time.Second)
-	p.set(passes)
+	p.set(modePass)
 	return m.String()
 }
 
-// wait waits for a part of a time.
+// wait waits for a random time below most, or until ctx ends.
 func wait(ctx context.Context, r *rand.Rand, most time.Duration) {
 	select {
 	case <-time.After(time.Duration(r.Int64N(int64(most)))):
@@ -177,13 +177,13 @@
 	}
 }
 
-// strike lets faults come in series that overlap, as the seed draws them. Quiet
-// spells lie between, in which the promises with a time bound can be seen.
-func (s *soak) strike(ctx context.Context, r *rand.Rand) {
+// injectFaults injects seeded series of overlapping faults. In the pauses between the
+// series, the guarantees with a time bound can be checked.
+func (s *soak) injectFaults(ctx context.Context, r *rand.Rand) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for ctx.Err() == nil {
-		wait(ctx, r, 2*contact)
+		wait(ctx, r, 2*recoveryTime)
 		onlyPlanned := r.IntN(3) == 0
 		for range 1 + r.IntN(3) {
 			f := s.faults[r.IntN(len(s.faults))]
@@ -191,7 +191,7 @@
 				continue
 			}
 			draws := rand.New(rand.NewPCG(r.Uint64(), 0))
-			group.Go(func() { s.one(ctx, f, draws) })
+			group.Go(func() { s.injectOne(ctx, f, draws) })
 			wait(ctx, r, time.Second)
 		}
 		if onlyPlanned {
@@ -201,27 +201,27 @@
 	}
 }
 
-func (s *soak) one(ctx context.Context, f fault, r *rand.Rand) {
-	end := s.ledger.disturb(f.planned)
+func (s *soak) injectOne(ctx context.Context, f fault, r *rand.Rand) {
+	end := s.ledger.recordFault(f.planned)
 	began := time.Now()
-	what := f.strike(ctx, s, r)
+	what := f.inject(ctx, s, r)
 	end()
 	s.log("%6.1f s to %6.1f s  %s: %s", began.Sub(s.began).Seconds(), time.Since(s.began).Seconds(), f.name, what)
 }
 
 func (s *soak) node(r *rand.Rand) *node { return s.nodes[r.IntN(len(s.nodes))] }
 
-// restart ends a node's process and starts it again after a pause. One that was
-// asked to stop gets its grace before it is killed.
+// restart terminates a node's process with a signal and starts it again after a pause.
+// After SIGTERM the process has the grace period to exit before it is killed.
 func (s *soak) restart(n *node, sig syscall.Signal, pause time.Duration) string {
-	n.turn.Lock()
-	defer n.turn.Unlock()
+	n.restarting.Lock()
+	defer n.restarting.Unlock()
 	n.Signal(sig)
-	if sig == syscall.SIGTERM && !n.Gone(grace) {
+	if sig == syscall.SIGTERM && !n.WaitExit(grace) {
 		n.Signal(syscall.SIGKILL)
 	}
-	n.Gone(grace)
+	n.WaitExit(grace)
 	time.Sleep(pause)
-	s.note(n.Start())
+	s.recordError(n.Start())
 	return n.Node
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -10,42 +10,43 @@
 )
 
 type (
-	// ledger is what callers and endpoints have seen, and which promises are
-	// broken by it.
+	// ledger records what callers and endpoints observe, and the violations of
+	// guarantees that follow from it.
 	ledger struct {
 		timed bool
 
 		mu       sync.Mutex
 		runs     map[string][]run
-		asked    map[string]kind
+		kinds    map[string]kind
 		notRun   map[string]time.Time
 		versions []time.Time
-		// seen is the newest version that each start of a node has shown.
+		// seen is the newest configuration version that each incarnation of a node has
+		// shown.
 		seen   map[string]int
 		leaves map[*endpoint]time.Time
-		// evacuated is since when zones are evacuated.
+		// evacuated is when the evacuation of each zone began.
 		evacuated map[string]time.Time
-		trouble   []span
+		unplanned []span
 		planned   []span
 		requests  []time.Time
-		repeats   []time.Time
+		retries   []time.Time
 		outcomes  map[string]int
 		broken    []string
-		// words are what endpoints have said of themselves to nodes.
-		words *words
+		// notices are the endpoints' leave notices and backoffs.
+		notices *notices
 	}
 
-	// run is one arrival at an endpoint that began to run.
+	// run is one execution of a request at an endpoint.
 	run struct {
 		endpoint *endpoint
 		after    uint64
 		at       time.Time
 	}
 
-	// span is a time during which something was not as usual.
+	// span is the time that a fault lasts; to is zero while it does.
 	span struct{ from, to time.Time }
 
-	// kind is what may be repeated of a request.
+	// kind says how far a request may be retried.
 	kind int
 )
 
@@ -59,53 +60,53 @@
 
 func newLedger(timed bool) *ledger {
 	return &ledger{
-		timed: timed, runs: map[string][]run{}, asked: map[string]kind{}, notRun: map[string]time.Time{},
+		timed: timed, runs: map[string][]run{}, kinds: map[string]kind{}, notRun: map[string]time.Time{},
 		seen: map[string]int{}, leaves: map[*endpoint]time.Time{}, evacuated: map[string]time.Time{}, outcomes: map[string]int{},
-		words: newWords(),
+		notices: newNotices(),
 	}
 }
 
-// breaks notes a broken promise; the mutex must be held.
-func (l *ledger) breaks(format string, args ...any) {
+// violation records a violated guarantee; the mutex must be held.
+func (l *ledger) violation(format string, args ...any) {
 	l.broken = append(l.broken, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) ask(id string, k kind) {
+func (l *ledger) recordRequest(id string, k kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[id] = k
+	l.kinds[id] = k
 	l.requests = append(l.requests, time.Now())
 }
 
-// ran notes that an endpoint has begun to run a request.
-func (l *ledger) ran(id string, e *endpoint, after uint64, at time.Time) {
+// recordRun records that an endpoint began to run a request.
+func (l *ledger) recordRun(id string, e *endpoint, after uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k, known := l.asked[id]
+	k, known := l.kinds[id]
 	if !known {
-		l.breaks("%s ran, which nobody asked for", id)
+		l.violation("%s ran, which nobody asked for", id)
 		return
 	}
 	if len(l.runs[id]) > 0 {
-		l.repeats = append(l.repeats, at)
+		l.retries = append(l.retries, at)
 		if k == once || k == streamOnce {
-			l.breaks("%s ran twice: at %s and %s", id, l.runs[id][0].endpoint.id, e.id)
+			l.violation("%s ran twice: at %s and %s", id, l.runs[id][0].endpoint.id, e.id)
 		}
 	}
 	if _, refused := l.notRun[id]; refused {
-		l.breaks("%s ran at %s after it was said not to have run", id, e.id)
+		l.violation("%s ran at %s after it was said not to have run", id, e.id)
 	}
 	l.runs[id] = append(l.runs[id], run{endpoint: e, after: after, at: at})
-	if left, ok := l.leaves[e]; ok && l.timed && at.Sub(left) > drainBound+drainSlack && l.calm(left, at) {
-		l.breaks("%s reached %s %v after its leave", id, e.id, at.Sub(left))
+	if left, ok := l.leaves[e]; ok && l.timed && at.Sub(left) > drainBound+drainSlack && l.undisturbed(left, at) {
+		l.violation("%s reached %s %v after its leave", id, e.id, at.Sub(left))
 	}
-	if since, ok := l.evacuated[e.zone]; ok && l.timed && at.Sub(since) > evacuateBound && l.calm(since, at) {
-		l.breaks("%s reached %s %v after the evacuation of %s", id, e.id, at.Sub(since), e.zone)
+	if since, ok := l.evacuated[e.zone]; ok && l.timed && at.Sub(since) > evacuateBound && l.undisturbed(since, at) {
+		l.violation("%s reached %s %v after the evacuation of %s", id, e.id, at.Sub(since), e.zone)
 	}
 }
 
-// evacuate notes that a zone is evacuated from now on, or was taken back.
-func (l *ledger) evacuate(zone string, on bool) {
+// setEvacuated records that a zone's evacuation begins or ends.
+func (l *ledger) setEvacuated(zone string, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.evacuated, zone)
@@ -114,8 +115,8 @@
 	}
 }
 
-// answered takes what a caller got.
-func (l *ledger) answered(id string, a answer) {
+// recordAnswer records the outcome of a request.
+func (l *ledger) recordAnswer(id string, a answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes[a.outcome()]++
@@ -123,35 +124,36 @@
 	case 503, 429, 408, 421:
 		l.notRun[id] = time.Now()
 		if len(l.runs[id]) > 0 {
-			l.breaks("%s was said not to have run (%d), but ran at %s", id, a.status, l.runs[id][0].endpoint.id)
+			l.violation("%s was said not to have run (%d), but ran at %s", id, a.status, l.runs[id][0].endpoint.id)
 		}
 	case 200:
-		l.whole(id, a)
+		l.checkAnswer(id, a)
 	}
 	if a.cut && l.onlyPlanned(a.sent, time.Now()) {
-		l.breaks("%s was cut with only planned work about (%s)", id, a.err)
+		l.violation("%s was cut with only planned work about (%s)", id, a.err)
 	}
 }
 
-// whole checks that an answer that looks complete is the request's own.
-func (l *ledger) whole(id string, a answer) {
+// checkAnswer checks that an answer received without an error is complete and belongs
+// to the request.
+func (l *ledger) checkAnswer(id string, a answer) {
 	if a.err != nil {
 		return
 	}
 	want := standin.Answer(id, []byte("body of "+id))
-	if k := l.asked[id]; k == resumed || k == streamOnce {
+	if k := l.kinds[id]; k == resumed || k == streamOnce {
 		want = ""
 		for n := 1; n <= streamEvents; n++ {
 			want += standin.Event(id, n)
 		}
 	}
 	if a.body != want {
-		l.breaks("%s got an answer that is not its own or not whole: %.80q", id, a.body)
+		l.violation("%s got an answer that is not its own or not whole: %.80q", id, a.body)
 	}
 }
 
-// configured notes a new version of the configuration.
-func (l *ledger) configured(version int, at time.Time) {
+// recordVersion records a new version of the configuration.
+func (l *ledger) recordVersion(version int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.versions) < version {
@@ -159,8 +161,8 @@
 	}
 }
 
-// shows takes whether a start of a node knows a version's route.
-func (l *ledger) shows(start string, version int, known bool, asked time.Time) {
+// recordProbe records whether an incarnation of a node knows a version's route.
+func (l *ledger) recordProbe(start string, version int, known bool, sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known {
@@ -168,11 +170,11 @@
 		return
 	}
 	if l.seen[start] >= version {
-		l.breaks("%s went back behind version %d", start, version)
+		l.violation("%s went back behind version %d", start, version)
 	}
 	since := l.versions[version-1]
-	if l.timed && asked.Sub(since) > applyBound && l.calm(since, asked) {
-		l.breaks("%s does not know version %d after %v", start, version, asked.Sub(since))
+	if l.timed && sentAt.Sub(since) > applyBound && l.undisturbed(since, sentAt) {
+		l.violation("%s does not know version %d after %v", start, version, sentAt.Sub(since))
 	}
 }
 
@@ -182,17 +184,17 @@
 	return len(l.versions)
 }
 
-func (l *ledger) left(e *endpoint, at time.Time) {
+func (l *ledger) recordLeave(e *endpoint, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaves[e] = at
 }
 
-// disturb notes trouble, or planned work, from now on; its end ends the span.
-func (l *ledger) disturb(planned bool) (end func()) {
+// recordFault records the start of a fault or of planned work; end records its end.
+func (l *ledger) recordFault(planned bool) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := &l.trouble
+	list := &l.unplanned
 	if planned {
 		list = &l.planned
 	}
@@ -205,14 +207,14 @@
 	}
 }
 
-// calm reports whether no trouble was about in a span and the contact time
-// before it; the mutex must be held.
-func (l *ledger) calm(from, to time.Time) bool {
-	return !overlaps(l.trouble, from.Add(-contact), to)
+// undisturbed reports whether no unplanned fault lasted during a span or the recovery
+// time before it; the mutex must be held.
+func (l *ledger) undisturbed(from, to time.Time) bool {
+	return !overlaps(l.unplanned, from.Add(-recoveryTime), to)
 }
 
 func (l *ledger) onlyPlanned(from, to time.Time) bool {
-	return l.timed && l.calm(from, to) && overlaps(l.planned, from, to)
+	return l.timed && l.undisturbed(from, to) && overlaps(l.planned, from, to)
 }
 
 func overlaps(list []span, from, to time.Time) bool {
@@ -221,20 +223,20 @@
 	})
 }
 
-// finish checks what can only be seen at the end, and returns all that is broken.
+// finish runs the checks that need the whole run, and returns all violations.
 func (l *ledger) finish() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, end := range l.repeats {
+	for _, end := range l.retries {
 		since := end.Add(-budgetWindow)
-		repeats, requests := countIn(l.repeats, since, end), countIn(l.requests, since.Add(-budgetWindow), end)
-		if float64(repeats) > 0.2*float64(requests)+retrySlack {
-			l.breaks("%d repeats for %d requests", repeats, requests)
+		retries, requests := countIn(l.retries, since, end), countIn(l.requests, since.Add(-budgetWindow), end)
+		if float64(retries) > 0.2*float64(requests)+retrySlack {
+			l.violation("%d repeats for %d requests", retries, requests)
 			break
 		}
 	}
 	if l.timed {
-		l.broken = append(l.broken, l.words.broken()...)
+		l.broken = append(l.broken, l.notices.check()...)
 	}
 	return l.broken
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -9,12 +9,12 @@
 // node is one real process of the fleet.
 type node struct {
 	*fleet.Process
-	// store stands between the node and the store.
-	store *proxy
-	// front stands between callers and the node.
-	front *proxy
+	// storeProxy is between the node and the store.
+	storeProxy *proxy
+	// callerProxy is between callers and the node.
+	callerProxy *proxy
 
-	// turn is held from a planned or unplanned end to the next start: two faults
-	// that restart one node would leave a process that nobody ends.
-	turn sync.Mutex
+	// restarting is held from a planned or unplanned exit to the next start: two
+	// concurrent restarts of one node would leave a process that nothing ends.
+	restarting sync.Mutex
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,28 +10,28 @@
 
 // Modes of a proxy.
 const (
-	// passes lets all bytes through.
-	passes mode = iota
-	// delays holds all bytes back for a time.
-	delays
-	// silences keeps connections open and loses all bytes.
-	silences
-	// deafens loses the bytes that come back.
-	deafens
-	// resets breaks all connections, and new ones at once.
-	resets
+	// modePass forwards all bytes.
+	modePass mode = iota
+	// modeDelay delays all bytes by proxyDelay.
+	modeDelay
+	// modeBlackhole keeps connections open and discards all bytes.
+	modeBlackhole
+	// modeDropReplies discards the bytes sent back to the connecting process.
+	modeDropReplies
+	// modeReset resets all connections, new ones immediately.
+	modeReset
 )
 
-// proxyDelay is how long a delaying proxy holds bytes back.
+// proxyDelay is how long modeDelay delays bytes.
 const proxyDelay = 300 * time.Millisecond
 
 type (
 	mode int
 
-	// proxy stands between a process and one address it connects to.
+	// proxy forwards a process's connections to one address.
 	proxy struct {
 		listener net.Listener
-		to       func() netip.AddrPort
+		target   func() netip.AddrPort
 		mu       sync.Mutex
 		mode     mode
 		open     map[net.Conn]bool
@@ -42,13 +42,13 @@
 	return [...]string{"pass", "delay", "silence", "deafen", "reset"}[m]
 }
 
-// newProxy listens on an address of its own.
+// newProxy starts a proxy on a free port of ip.
 func newProxy(ip string, to func() netip.AddrPort) (*proxy, error) {
 	l, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, open: map[net.Conn]bool{}}
+	p := &proxy{listener: l, target: to, open: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -70,7 +70,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	if m == resets {
+	if m == modeReset {
 		p.breakAll()
 	}
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -110,11 +110,11 @@
 
 func (p *proxy) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
-	if p.now() == resets {
+	if p.currentMode() == modeReset {
 		_ = in.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	out, err := net.Dial("tcp4", p.to().String())
+	out, err := net.Dial("tcp4", p.target().String())
 	if err != nil {
 		_ = in.(*net.TCPConn).SetLinger(0)
 		return
@@ -125,24 +125,24 @@
 	defer p.track(in, false)
 	defer p.track(out, false)
 	done := make(chan struct{}, 2)
-	go p.copy(out, in, silences, done)
-	go p.copy(in, out, deafens, done)
+	go p.copy(out, in, modeBlackhole, done)
+	go p.copy(in, out, modeDropReplies, done)
 	<-done
 	_ = out.Close()
 	_ = in.Close()
 	<-done
 }
 
-// copy passes bytes on; those that fall silent are lost for good, as behind a
-// partition whose sender does not send them again.
+// copy forwards bytes. A connection that has lost bytes forwards none afterwards, as in
+// a partition whose sender does not retransmit.
 func (p *proxy) copy(to, from net.Conn, lossy mode, done chan<- struct{}) {
 	buffer := make([]byte, 32<<10)
 	lost := false
 	for {
 		n, err := from.Read(buffer)
-		m := p.now()
-		lost = lost || m == silences || m == lossy
-		if m == delays {
+		m := p.currentMode()
+		lost = lost || m == modeBlackhole || m == lossy
+		if m == modeDelay {
 			time.Sleep(proxyDelay)
 		}
 		if n > 0 && !lost {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real program as many processes on loopback, injects
-// faults from outside, as a seed draws them, and checks the promises of the
-// platform's pages by what callers and endpoints see.
+// Package soak runs the real program as several processes on loopback, injects a seeded
+// series of faults from outside, and checks the platform's documented guarantees
+// against what callers and endpoints observe.
 package soak
 
 import (
@@ -20,7 +20,7 @@
 	"bulrushhinge.example/bulrushhinge/platform/standin"
 )
 
-// Sizes and times of what the fleet runs in.
+// Sizes and timing of the fleet's environment.
 const (
 	servicePlain    = "plain"
 	serviceEngine   = "engine"
@@ -33,29 +33,30 @@
 	routeTimeout    = 6 * time.Second
 	callerTimeout   = 7 * time.Second
 	probeInterval   = 150 * time.Millisecond
-	// meetTimeout bounds the time until all nodes know each other.
-	meetTimeout = time.Minute
-	// lapseTime is how long an endpoint's entry outlives it.
-	lapseTime = 3600 * time.Millisecond
-	// coldTime is for how long engines are cold, and coldRate how many requests a
-	// second they then bear.
+	// joinTimeout bounds the time until all nodes know each other.
+	joinTimeout = time.Minute
+	// entryTTL is how long after a crash an endpoint's entry stays in the store.
+	entryTTL = 3600 * time.Millisecond
+	// coldTime is how long engines are cold, and coldRate how many requests a second
+	// they can sustain while cold.
 	coldTime = 2 * time.Second
 	coldRate = 18
 )
 
-// Bounds of the promises, as the users' installations have them.
+// Limits of the guarantees, with the values of the users' installations.
 const (
-	grace      = 8 * time.Second
-	contact    = 3 * time.Second
-	drainBound = 2 * time.Second
-	applyBound = 2 * time.Second
-	// evacuateBound is within what time a zone's endpoints get nothing more, and
-	// coldBound the most that a cold engine gets in one second.
+	grace        = 8 * time.Second
+	recoveryTime = 3 * time.Second
+	drainBound   = 2 * time.Second
+	applyBound   = 2 * time.Second
+	// evacuateBound is how soon after an evacuation begins the zone's endpoints must
+	// receive no more requests, and coldBound the most requests that a cold engine may
+	// receive in one second.
 	evacuateBound = 5 * time.Second
 	coldBound     = coldRate*3/2 + 5
 	budgetWindow  = 10 * time.Second
 	retrySlack    = 56
-	// drainSlack is for the way between the store's answer and the note of it.
+	// drainSlack allows for the delay between the store's answer and its record here.
 	drainSlack = 100 * time.Millisecond
 )
 
@@ -63,29 +64,29 @@
 var zones = []string{"z1", "z2"}
 
 var (
-	// ErrBroken is returned where a promise was broken.
+	// ErrBroken is returned if a guarantee was violated.
 	ErrBroken = errors.New("soak: a promise was broken")
-	// ErrFault is returned for the name of a fault that is not there.
+	// ErrFault is returned for an unknown fault name.
 	ErrFault = errors.New("soak: no such fault")
 )
 
 type (
-	// Config is the settings of a run.
+	// Config holds the settings of a run.
 	Config struct {
 		// Program is the path of the program.
 		Program string
-		// Folder takes settings and logs.
+		// Folder receives the nodes' settings and logs.
 		Folder  string
 		Seed    uint64
 		Length  time.Duration
 		Nodes   int
 		Callers int
-		// Faults are the names of those that are drawn, all if empty.
+		// Faults names the faults to inject; all if empty.
 		Faults []string
-		// Timed checks the promises with a time bound too; on a machine that is
-		// busy with other things they say little.
+		// Timed also checks the guarantees with a time bound. On a machine with other
+		// load their results mean little.
 		Timed bool
-		// Out takes the report.
+		// Out receives the report.
 		Out io.Writer
 	}
 
@@ -96,9 +97,9 @@
 		ledger *ledger
 		nodes  []*node
 		began  time.Time
-		// evacuating is held by the only evacuation at a time.
+		// evacuating allows one evacuation at a time.
 		evacuating sync.Mutex
-		// restoring is held by the only restore of the store at a time.
+		// restoring allows one restore of the store at a time.
 		restoring sync.Mutex
 
 		mu     sync.Mutex
@@ -107,14 +108,14 @@
 	}
 )
 
-// Run runs one seed. It returns ErrBroken where a promise was broken, and
-// another error where the run itself failed.
+// Run runs one seed. It returns ErrBroken if a guarantee was violated, and another
+// error if the run itself failed.
 func Run(ctx context.Context, c Config) error {
-	drawn, err := chosen(c.Faults)
+	selected, err := selectFaults(c.Faults)
 	if err != nil {
 		return err
 	}
-	s := &soak{config: c, faults: drawn, ledger: newLedger(c.Timed), began: time.Now()}
+	s := &soak{config: c, faults: selected, ledger: newLedger(c.Timed), began: time.Now()}
 	defer s.end()
 	if err := s.start(); err != nil {
 		return err
@@ -125,14 +126,14 @@
 	var group sync.WaitGroup
 	group.Go(func() { k.run(ctx, c.Callers, c.Seed) })
 	group.Go(func() { k.probe(ctx) })
-	group.Go(func() { s.strike(ctx, rand.New(rand.NewPCG(c.Seed, 1))) })
+	group.Go(func() { s.injectFaults(ctx, rand.New(rand.NewPCG(c.Seed, 1))) })
 	group.Wait()
 	return s.report()
 }
 
 func (s *soak) start() error {
-	// All addresses are the run's own, so that a port which is free again is not
-	// taken by another run, whose requests would come here.
+	// Each run uses loopback addresses of its own: on shared ones another run could
+	// take a port that was freed here, and its requests would reach this run.
 	network := fmt.Sprintf("127.%d.%d.", 192+rand.IntN(62), 1+rand.IntN(250))
 	world := network + "250"
 	var err error
@@ -145,14 +146,14 @@
 	}
 	for i := range s.config.Nodes {
 		n := &node{Process: &fleet.Process{Program: s.config.Program, Folder: s.config.Folder}}
-		if n.store, err = newProxy(world, func() netip.AddrPort { return s.world.storeAddr }); err != nil {
+		if n.storeProxy, err = newProxy(world, func() netip.AddrPort { return s.world.storeAddr }); err != nil {
 			return err
 		}
 		n.Settings = standin.Settings{
 			Node: fmt.Sprint("n", i+1), IP: netip.MustParseAddr(fmt.Sprint(network, i+1)), Port: port,
-			Seeds: seeds(network, s.config.Nodes), Store: n.store.addr(), Drain: drainBound, Grace: grace, RetrySlack: retrySlack,
+			Seeds: seeds(network, s.config.Nodes), Store: n.storeProxy.addr(), Drain: drainBound, Grace: grace, RetrySlack: retrySlack,
 		}
-		if n.front, err = newProxy(world, func() netip.AddrPort { return n.Callers() }); err != nil {
+		if n.callerProxy, err = newProxy(world, func() netip.AddrPort { return n.Callers() }); err != nil {
 			return err
 		}
 		s.nodes = append(s.nodes, n)
@@ -164,20 +165,20 @@
 		}
 		all = append(all, n.Settings)
 	}
-	return fleet.Meet(all, meetTimeout)
+	return fleet.WaitForMembers(all, joinTimeout)
 }
 
-// life is the start of the node at an address that runs now.
-func (s *soak) life(addr netip.AddrPort) life {
+// incarnation returns the running incarnation of the node at an address.
+func (s *soak) incarnation(addr netip.AddrPort) incarnation {
 	for _, n := range s.nodes {
 		if n.Callers() == addr {
-			return life{node: n.Node, start: n.Starts()}
+			return incarnation{node: n.Node, start: n.Starts()}
 		}
 	}
-	return life{}
+	return incarnation{}
 }
 
-// seeds are the addresses of the first nodes.
+// seeds returns the addresses of the first nodes.
 func seeds(network string, nodes int) []netip.Addr {
 	const most = 3
 	var list []netip.Addr
@@ -187,17 +188,17 @@
 	return list
 }
 
-// end ends what the run started, and nothing else.
+// end stops the processes and proxies that the run started, and nothing else.
 func (s *soak) end() {
 	for _, n := range s.nodes {
 		n.Signal(syscall.SIGCONT)
 		n.Signal(syscall.SIGKILL)
-		n.store.close()
-		n.front.close()
+		n.storeProxy.close()
+		n.callerProxy.close()
 	}
 }
 
-func (s *soak) note(err error) {
+func (s *soak) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -212,10 +213,11 @@
 	s.events = append(s.events, fmt.Sprintf(format, args...))
 }
 
-// report prints what happened, the schedule too where a promise was broken.
+// report prints a summary of the run, and the schedule of faults if a guarantee was
+// violated.
 func (s *soak) report() error {
 	broken := s.ledger.finish()
-	if most := s.world.chilled(); most > coldBound {
+	if most := s.world.peakColdRate(); most > coldBound {
 		broken = append(broken, fmt.Sprintf("a cold engine got %d requests in a second", most))
 	}
 	outcomes := make([]string, 0, len(s.ledger.outcomes))
@@ -240,7 +242,7 @@
 	return fmt.Errorf("%w: seed %d", ErrBroken, s.config.Seed)
 }
 
-// Folder returns a new folder for a seed's settings and logs.
+// Folder creates a folder for a seed's settings and logs.
 func Folder(base string, seed uint64) (string, error) {
 	path, err := os.MkdirTemp(base, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,14 +13,14 @@
 	"bulrushhinge.example/bulrushhinge/internal/soak"
 )
 
-// seeds are run in short, without the promises that have a time bound.
+// seeds are run for a short time, without the guarantees that have a time bound.
 var seeds = []struct {
 	seed uint64
-	// why says what the seed once showed.
-	why string
+	// reason is what the seed once showed.
+	reason string
 }{
-	{seed: 1, why: "the short run of every test"},
-	{seed: 106, why: "requests without an ID reached an endpoint: another test run had connected to a port that was free again; runs have had addresses of their own since"},
+	{seed: 1, reason: "the short run of every test"},
+	{seed: 106, reason: "requests without an ID reached an endpoint: another test run had connected to a port that was free again; runs have had addresses of their own since"},
 }
 
 func TestSeeds(t *testing.T) {
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -7,127 +7,129 @@
 )
 
 const (
-	// restGrace is how long after a refusal requests may still be on their way, and
-	// restSlack how many may reach the endpoint afterwards.
-	restGrace = 500 * time.Millisecond
-	restSlack = 2
+	// backoffGrace is how long after a refusal requests may still be in flight, and
+	// backoffSlack how many may reach the endpoint afterwards.
+	backoffGrace = 500 * time.Millisecond
+	backoffSlack = 2
 )
 
 type (
-	// words are what endpoints have said of themselves to nodes, and the requests that
-	// reached them nevertheless.
-	words struct {
-		mu    sync.Mutex
-		asked map[string]origin
-		// leaving is when a start of a node passed on that an endpoint leaves.
-		leaving map[pair]time.Time
-		rests   map[pair][]rest
-		// excused is when a node was last paused or went on.
-		excused map[string]time.Time
-		harmed  map[string]bool
-		list    []string
+	// notices records the leave notices and backoffs that endpoints sent to nodes, and
+	// the requests that reached the endpoints in spite of them.
+	notices struct {
+		mu      sync.Mutex
+		origins map[string]origin
+		// leaving is when a node incarnation forwarded an endpoint's leave notice.
+		leaving  map[pair]time.Time
+		backoffs map[pair][]backoff
+		// pausedAt is when a node was last paused or resumed.
+		pausedAt   map[string]time.Time
+		impaired   map[string]bool
+		violations []string
 	}
 
-	// life is one start of a node.
-	life struct {
+	// incarnation is one start of a node's process.
+	incarnation struct {
 		node  string
 		start int
 	}
 
-	// origin is which start of a node was sent a request, and when.
+	// origin is the node incarnation to which a request was sent, and when.
 	origin struct {
-		life
+		incarnation
 		at time.Time
 	}
 
-	// pair is a start of a node and an endpoint.
+	// pair is a node incarnation and an endpoint.
 	pair struct {
-		life
+		incarnation
 		endpoint string
 	}
 
-	// rest is one that an endpoint has asked for, and the requests that were sent in it
-	// and reached the endpoint.
-	rest struct {
+	// backoff is a backoff that an endpoint requested, and the requests sent during it
+	// that reached the endpoint.
+	backoff struct {
 		at, until time.Time
 		requests  []string
 	}
 )
 
-func newWords() *words {
-	return &words{asked: map[string]origin{}, leaving: map[pair]time.Time{}, rests: map[pair][]rest{}, excused: map[string]time.Time{}, harmed: map[string]bool{}}
+func newNotices() *notices {
+	return &notices{origins: map[string]origin{}, leaving: map[pair]time.Time{}, backoffs: map[pair][]backoff{}, pausedAt: map[string]time.Time{}, impaired: map[string]bool{}}
 }
 
-// sent notes that a request is sent to a node.
-func (w *words) sent(id string, l life, at time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.asked[id] = origin{life: l, at: at}
+// sent records that a request is sent to a node.
+func (n *notices) sent(id string, i incarnation, at time.Time) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.origins[id] = origin{incarnation: i, at: at}
 }
 
-// passed notes that a node has passed on an answer in which an endpoint says that it
-// leaves.
-func (w *words) passed(id, endpoint string, at time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := pair{life: w.asked[id].life, endpoint: endpoint}
-	if _, known := w.leaving[p]; !known && endpoint != "" {
-		w.leaving[p] = at
+// leaveForwarded records that a node forwarded an answer in which an endpoint says that
+// it is leaving.
+func (n *notices) leaveForwarded(id, endpoint string, at time.Time) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	p := pair{incarnation: n.origins[id].incarnation, endpoint: endpoint}
+	if _, known := n.leaving[p]; !known && endpoint != "" {
+		n.leaving[p] = at
 	}
 }
 
-// excuse notes that a node was paused, or goes on.
-func (w *words) excuse(node string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.excused[node] = time.Now()
+// recordPause records that a node was paused or resumed.
+func (n *notices) recordPause(node string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.pausedAt[node] = time.Now()
 }
 
-// harm notes that an endpoint's connections are delayed or broken, or no longer.
-func (w *words) harm(endpoint string, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.harmed[endpoint] = on
-	for p := range w.rests {
+// setImpaired records whether an endpoint's connections are delayed or broken, and
+// discards the endpoint's backoffs.
+func (n *notices) setImpaired(endpoint string, on bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.impaired[endpoint] = on
+	for p := range n.backoffs {
 		if p.endpoint == endpoint {
-			delete(w.rests, p)
+			delete(n.backoffs, p)
 		}
 	}
 }
 
-// arrived takes a request that has reached an endpoint, which turns it away if it asks
-// for rest.
-func (w *words) arrived(id, endpoint string, asks time.Duration, at time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	o, known := w.asked[id]
+// arrived records a request that reached an endpoint. A positive duration means that
+// the endpoint refused it and requested a backoff.
+func (n *notices) arrived(id, endpoint string, duration time.Duration, at time.Time) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	o, known := n.origins[id]
 	if !known {
 		return
 	}
-	p := pair{life: o.life, endpoint: endpoint}
-	if told, ok := w.leaving[p]; ok && o.at.Sub(told) > drainBound && !w.excused[o.node].After(told) {
-		w.list = append(w.list, fmt.Sprintf("%s reached %s from %s, which had passed on %v before that it leaves", id, endpoint, o.node, o.at.Sub(told)))
+	p := pair{incarnation: o.incarnation, endpoint: endpoint}
+	if reported, ok := n.leaving[p]; ok && o.at.Sub(reported) > drainBound && !n.pausedAt[o.node].After(reported) {
+		n.violations = append(n.violations, fmt.Sprintf("%s reached %s from %s, which had passed on %v before that it leaves", id, endpoint, o.node, o.at.Sub(reported)))
 	}
-	for i, r := range w.rests[p] {
-		if o.at.Sub(r.at) > restGrace && at.Before(r.until) && !w.excused[o.node].After(r.at) {
-			w.rests[p][i].requests = append(r.requests, id)
+	for i, r := range n.backoffs[p] {
+		if o.at.Sub(r.at) > backoffGrace && at.Before(r.until) && !n.pausedAt[o.node].After(r.at) {
+			n.backoffs[p][i].requests = append(r.requests, id)
 		}
 	}
-	if asks > 0 && !w.harmed[endpoint] {
-		w.rests[p] = append(w.rests[p], rest{at: at, until: at.Add(asks)})
+	if duration > 0 && !n.impaired[endpoint] {
+		n.backoffs[p] = append(n.backoffs[p], backoff{at: at, until: at.Add(duration)})
 	}
 }
 
-// broken returns what was sent though an endpoint had said that it wants nothing.
-func (w *words) broken() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for p, list := range w.rests {
+// check returns the violations: requests that were sent in spite of a leave notice or a
+// backoff.
+func (n *notices) check() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for p, list := range n.backoffs {
 		for _, r := range list {
-			if len(r.requests) > restSlack {
-				w.list = append(w.list, fmt.Sprintf("%d requests reached %s from %s, which it had asked for %v of rest: %v", len(r.requests), p.endpoint, p.node, r.until.Sub(r.at), r.requests))
+			if len(r.requests) > backoffSlack {
+				n.violations = append(n.violations, fmt.Sprintf("%d requests reached %s from %s, which it had asked for %v of rest: %v", len(r.requests), p.endpoint, p.node, r.until.Sub(r.at), r.requests))
 			}
 		}
 	}
-	return w.list
+	return n.violations
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -14,7 +14,7 @@
 )
 
 type (
-	// world is what the fleet runs in: the store and the endpoints.
+	// world is the fleet's environment: the store and the endpoints.
 	world struct {
 		ip        string
 		store     *standin.Store
@@ -32,13 +32,13 @@
 	endpoint struct {
 		id       string
 		service  string
-		stand    *standin.Endpoint
+		standIn  *standin.Endpoint
 		server   *http.Server
 		listener net.Listener
 		proxy    *proxy
-		// quiet endpoints leave by their entry's removal alone.
-		quiet bool
-		zone  string
+		// unannounced endpoints leave by the removal of their entry alone.
+		unannounced bool
+		zone        string
 	}
 )
 
@@ -66,7 +66,7 @@
 	return w, nil
 }
 
-// configure writes a new version, which has one more route than the last.
+// configure writes a new configuration version, with one route more than the last.
 func (w *world) configure() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +86,7 @@
 	if err != nil {
 		return fmt.Errorf("soak: configure: %w", err)
 	}
-	w.ledger.configured(w.version, time.Now())
+	w.ledger.recordVersion(w.version, time.Now())
 	return nil
 }
 
@@ -101,18 +101,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
-	e := &endpoint{id: fmt.Sprintf("%s-%d", service, w.started), service: service, quiet: w.started%2 == 1, zone: zones[w.started/2%len(zones)]}
-	e.stand = standin.NewEndpoint(standin.EndpointConfig{
+	e := &endpoint{id: fmt.Sprintf("%s-%d", service, w.started), service: service, unannounced: w.started%2 == 1, zone: zones[w.started/2%len(zones)]}
+	e.standIn = standin.NewEndpoint(standin.EndpointConfig{
 		ID: e.id, Slots: slots, Events: streamEvents, Pause: workTime,
-		Ran:     func(id, _ string, after uint64) { w.ledger.ran(id, e, after, time.Now()) },
-		Arrived: func(id string, rest time.Duration) { w.ledger.words.arrived(id, e.id, rest, time.Now()) },
+		Ran:     func(id, _ string, after uint64) { w.ledger.recordRun(id, e, after, time.Now()) },
+		Arrived: func(id string, backoff time.Duration) { w.ledger.notices.arrived(id, e.id, backoff, time.Now()) },
 	})
 	listener, err := net.Listen("tcp4", w.ip+":0")
 	if err != nil {
 		return fmt.Errorf("soak: endpoint: %w", err)
 	}
 	e.listener = listener
-	e.server = &http.Server{Handler: e.stand}
+	e.server = &http.Server{Handler: e.standIn}
 	go func() { _ = e.server.Serve(listener) }()
 	to := netip.MustParseAddrPort(listener.Addr().String())
 	if e.proxy, err = newProxy(w.ip, func() netip.AddrPort { return to }); err != nil {
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// pick draws an endpoint that is not leaving, if its service has others.
+// pick returns a random endpoint that is not leaving, or nil if its service has no
+// other.
 func (w *world) pick(r *rand.Rand) *endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,26 +150,26 @@
 	return e
 }
 
-// leave makes an endpoint leave as planned, and another one take its place. A
-// quiet one never says that it drains: a node that starts then finds no trace of
-// it, and must not keep others from learning that it has gone.
+// leave makes an endpoint leave as planned and adds a replacement. An unannounced one
+// is never marked as draining: a node that starts afterwards finds no trace of it, and
+// must not keep other nodes from learning that it was removed.
 func (w *world) leave(e *endpoint) error {
 	if err := w.addEndpoint(e.service); err != nil {
 		return err
 	}
-	if e.quiet {
+	if e.unannounced {
 		w.store.Unregister(e.id)
 	} else if err := w.register(e, true); err != nil {
 		return err
 	}
-	w.ledger.left(e, time.Now())
-	w.drop(e)
+	w.ledger.recordLeave(e, time.Now())
+	w.remove(e)
 	go w.retire(e)
 	return nil
 }
 
-// retire ends an endpoint that leaves: its entry once it has drained, and itself once
-// no request can run any more.
+// retire removes a leaving endpoint's entry once it has drained, and stops the endpoint
+// once no request can run on it any more.
 func (w *world) retire(e *endpoint) {
 	time.Sleep(drainBound + 2*time.Second)
 	w.store.Unregister(e.id)
@@ -176,16 +177,16 @@
 	e.stop()
 }
 
-// announce makes an endpoint say in its answers that it leaves, and the store only
-// after a while, if at all; another one takes its place.
+// announce makes an endpoint report in its answers that it is leaving, and in the store
+// only after a while or never, and adds a replacement.
 func (w *world) announce(e *endpoint, pause func(most time.Duration)) error {
 	if err := w.addEndpoint(e.service); err != nil {
 		return err
 	}
-	e.stand.Leave()
-	w.drop(e)
+	e.standIn.Leave()
+	w.remove(e)
 	pause(8 * time.Second)
-	if !e.quiet {
+	if !e.unannounced {
 		if err := w.register(e, true); err != nil {
 			return err
 		}
@@ -194,38 +195,39 @@
 	return nil
 }
 
-// shed makes an endpoint turn all requests away for a while, and ask for rest.
+// shed makes an endpoint refuse all requests for a while and request a backoff.
 func (e *endpoint) shed(r *rand.Rand, pause func(most time.Duration)) {
-	e.stand.Shed(true, time.Duration(r.IntN(30))*100*time.Millisecond)
+	e.standIn.Shed(true, time.Duration(r.IntN(30))*100*time.Millisecond)
 	pause(5 * time.Second)
-	e.stand.Shed(false, 0)
+	e.standIn.Shed(false, 0)
 }
 
-// crash makes an endpoint crash; its entry lapses, and another one comes.
+// crash makes an endpoint crash and adds a replacement. The entry expires after
+// entryTTL.
 func (w *world) crash(e *endpoint) error {
-	w.drop(e)
-	e.stand.Break(true)
+	w.remove(e)
+	e.standIn.Break(true)
 	e.stop()
 	go func() {
-		time.Sleep(lapseTime)
+		time.Sleep(entryTTL)
 		w.store.Unregister(e.id)
 	}()
 	return w.addEndpoint(e.service)
 }
 
-// evacuate evacuates a zone for a while; its engines are cold when it is taken
-// back, which their entries do not say yet.
+// evacuate evacuates a zone for a while. Its engines are cold when the evacuation ends,
+// which their entries do not show yet.
 func (w *world) evacuate(zone string, pause func()) error {
 	if err := w.store.Evacuate(zone); err != nil {
 		return fmt.Errorf("soak: evacuate: %w", err)
 	}
-	w.ledger.evacuate(zone, true)
+	w.ledger.setEvacuated(zone, true)
 	pause()
-	w.ledger.evacuate(zone, false)
+	w.ledger.setEvacuated(zone, false)
 	w.mu.Lock()
 	for _, e := range w.endpoints {
 		if e.zone == zone && e.service == serviceEngine {
-			e.stand.Cool(coldTime)
+			e.standIn.Cool(coldTime)
 		}
 	}
 	w.mu.Unlock()
@@ -233,8 +235,8 @@
 	return nil
 }
 
-// restore brings the store back from a copy that is some seconds old, after an
-// outage. What was lost is written again, in any order and after a while.
+// restore restores the store from a copy that is some seconds old, after an outage. The
+// lost changes are written again after a while, in random order.
 func (w *world) restore(r *rand.Rand, pause func(most time.Duration)) string {
 	const age, outage, until = 4 * time.Second, 2 * time.Second, 300 * time.Millisecond
 	c := w.store.Copy()
@@ -251,19 +253,19 @@
 	return fmt.Sprintf("%d keys had changed", len(lost))
 }
 
-// chilled returns the most requests that an engine got in a second while it was
-// cold.
-func (w *world) chilled() int {
+// peakColdRate returns the most requests that an engine received in a second while it
+// was cold.
+func (w *world) peakColdRate() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	most := 0
 	for _, e := range w.endpoints {
-		most = max(most, e.stand.Chilled())
+		most = max(most, e.standIn.Chilled())
 	}
 	return most
 }
 
-func (w *world) drop(e *endpoint) {
+func (w *world) remove(e *endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, o := range w.endpoints {
