--- a/internal/workload/churn.go
+++ b/internal/workload/churn.go
@@ -8,71 +8,70 @@
 )
 
 const (
-	leaves  = 2
-	joins   = 2
-	flaps   = 2
-	flapGap = 2 * time.Second
-	replace = 20 * time.Second
-	churnAt = 20 * time.Second
+	leaves       = 2
+	joins        = 2
+	flaps        = 2
+	flapGap      = 2 * time.Second
+	replaceDelay = 20 * time.Second
+	churnMargin  = 20 * time.Second
 )
 
-// churn changes the fleet: endpoints join, leave and flap, one endpoint and one
-// node die and are replaced, one node stops as planned, and one revision is
-// accepted.
-func (m *maker) churn() {
-	model := m.shape.models[0]
-	present := m.shape.endpoints[model.Name]
-	picks := m.random.Perm(present)
+// churn changes the fleet: endpoints join, leave and flap, one endpoint and one node
+// die and are replaced, one node makes a planned stop, and one revision is accepted.
+func (g *generator) churn() {
+	model := g.shape.models[0]
+	present := g.shape.endpoints[model.Name]
+	picks := g.random.Perm(present)
 	for i := range leaves {
-		m.add(m.when(), trace.Event{Kind: trace.Leave, Endpoint: endpointName(model, picks[i]+1)})
+		g.add(g.eventTime(), trace.Event{Kind: trace.Leave, Endpoint: endpointName(model, picks[i]+1)})
 	}
 	for i := range joins {
-		m.join(m.when(), model, present+i)
+		g.join(g.eventTime(), model, present+i)
 	}
 	for i := range flaps {
-		m.flap(model, picks[leaves+i])
+		g.flap(model, picks[leaves+i])
 	}
-	at := m.when()
+	at := g.eventTime()
 	dead := picks[leaves+flaps]
-	m.add(at, trace.Event{Kind: trace.Kill, Instance: endpointName(model, dead+1)})
-	m.join(at+replace, model, present+joins)
-	m.nodes()
-	m.add(m.when(), trace.Event{Kind: trace.Accept, Revision: 2})
+	g.add(at, trace.Event{Kind: trace.Kill, Instance: endpointName(model, dead+1)})
+	g.join(at+replaceDelay, model, present+joins)
+	g.churnNodes()
+	g.add(g.eventTime(), trace.Event{Kind: trace.Accept, Revision: 2})
 }
 
-func (m *maker) flap(model trace.Model, i int) {
-	at := m.when()
+func (g *generator) flap(model trace.Model, i int) {
+	at := g.eventTime()
 	for range flaps {
-		m.add(at, trace.Event{Kind: trace.Kill, Instance: endpointName(model, i+1)})
-		m.join(at+flapGap, model, i)
+		g.add(at, trace.Event{Kind: trace.Kill, Instance: endpointName(model, i+1)})
+		g.join(at+flapGap, model, i)
 		at += 3 * flapGap
 	}
 }
 
-func (m *maker) nodes() {
-	picks := m.random.Perm(nodes)
-	dead := m.trace.Header.Nodes[picks[0]]
-	at := m.when()
-	m.add(at, trace.Event{Kind: trace.Kill, Instance: dead.Instance})
-	m.add(at+replace, trace.Event{Kind: trace.Join, Instance: "n9", Zone: dead.Zone})
-	left := m.trace.Header.Nodes[picks[1]]
-	at = m.when()
-	m.add(at, trace.Event{Kind: trace.Leave, Instance: left.Instance})
-	m.add(at+replace, trace.Event{Kind: trace.Join, Instance: "n10", Zone: left.Zone})
+func (g *generator) churnNodes() {
+	picks := g.random.Perm(nodes)
+	dead := g.trace.Header.Nodes[picks[0]]
+	at := g.eventTime()
+	g.add(at, trace.Event{Kind: trace.Kill, Instance: dead.Instance})
+	g.add(at+replaceDelay, trace.Event{Kind: trace.Join, Instance: "n9", Zone: dead.Zone})
+	left := g.trace.Header.Nodes[picks[1]]
+	at = g.eventTime()
+	g.add(at, trace.Event{Kind: trace.Leave, Instance: left.Instance})
+	g.add(at+replaceDelay, trace.Event{Kind: trace.Join, Instance: "n10", Zone: left.Zone})
 }
 
-func (m *maker) join(at time.Duration, model trace.Model, i int) {
-	m.add(at, trace.Event{Kind: trace.Join, Endpoint: endpointName(model, i+1), Zone: m.zone(i), Model: model.Name})
+func (g *generator) join(at time.Duration, model trace.Model, i int) {
+	g.add(at, trace.Event{Kind: trace.Join, Endpoint: endpointName(model, i+1), Zone: g.zone(i), Model: model.Name})
 }
 
-// when draws a time at which the fleet changes.
-func (m *maker) when() time.Duration {
-	return churnAt + time.Duration(m.random.Int64N(int64(Day-2*churnAt-replace)))
+// eventTime draws the time of a change of the fleet.
+func (g *generator) eventTime() time.Duration {
+	return churnMargin + time.Duration(g.random.Int64N(int64(Day-2*churnMargin-replaceDelay)))
 }
 
-func (m *maker) add(at time.Duration, e trace.Event) {
+func (g *generator) add(at time.Duration, e trace.Event) {
 	e.At = trace.Duration(at)
-	m.trace.Events = append(m.trace.Events, e)
+	g.trace.Events = append(g.trace.Events, e)
 }
 
 // Names returns the names of all workloads, sorted.
--- a/internal/workload/shapes.go
+++ b/internal/workload/shapes.go
@@ -10,14 +10,14 @@
 	boundThies      = 1.5
 	boundKaramanlis = 1.25
 
-	// importRate is that of a model of 64 KB a token over 25 Gbit/s.
+	// importRate is in tokens a second: a model with 64 KB a token over 25 Gbit/s.
 	importRate = 48_000
 )
 
 var (
-	// thies is the Régie Municipale d'Épargne de Thiès: histories of depositors
-	// that agents come back to, renewal notices that must not be repeated, and
-	// calls of the counter application.
+	// thies is the Régie Municipale d'Épargne de Thiès: histories of depositors that
+	// agents return to, renewal notices that must not be repeated, and calls of the
+	// counter application.
 	thies = shape{
 		name:  "thies",
 		bound: boundThies,
@@ -53,9 +53,8 @@
 		},
 	}
 
-	// karamanlis is Karamanlis Wholesale Supply: long catalogue summaries that
-	// must not be repeated, label rewrites, short tags, chats of buyers, and
-	// price lookups.
+	// karamanlis is Karamanlis Wholesale Supply: long catalogue summaries that must not
+	// be repeated, label rewrites, short tags, chats of buyers, and price lookups.
 	karamanlis = shape{
 		name:  "karamanlis",
 		bound: boundKaramanlis,
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,7 +1,7 @@
-// Package workload makes traces of the sizes that the first deployments have:
-// returning chats with pauses, a few large client accounts, demand that halves
-// at night, mornings that surge, and a fleet that changes meanwhile. Time is
-// compressed: a day takes five minutes.
+// Package workload generates traces with the sizes of the first deployments: returning
+// chats with pauses, a few large client accounts, demand that halves at night and
+// surges in the morning, and a fleet that changes meanwhile. Time is compressed: a day
+// takes five minutes.
 package workload
 
 import (
@@ -23,11 +23,11 @@
 	seedStream = 0x7ace
 )
 
-// ErrUnknown is returned for a name that no workload has.
+// ErrUnknown is returned for an unknown workload name.
 var ErrUnknown = errors.New("workload: unknown")
 
-// curve is the demand over the day; between two points it is a line.
-var curve = []point{
+// demandCurve is the demand over the day, interpolated linearly between its points.
+var demandCurve = []point{
 	{0, 0.5},
 	{Day * 15 / 100, 0.5},
 	{Day * 21 / 100, 1.6},
@@ -41,7 +41,7 @@
 var shapes = map[string]shape{"thies": thies, "karamanlis": karamanlis}
 
 type (
-	// shape is what tells one deployment's workload from another's.
+	// shape holds the parameters of one deployment's workload.
 	shape struct {
 		name      string
 		bound     float64
@@ -54,12 +54,13 @@
 		tasks []task
 	}
 
-	// task is one kind of work.
+	// task is one kind of request.
 	task struct {
 		model string
-		// share is that of the tasks that start anew.
+		// share is the task's share of the new chats.
 		share float64
-		// first and later are the new tokens of a chat's first and later turns.
+		// first and later are the new input tokens of a chat's first turn and of its
+		// later turns.
 		first, later sizes
 		output       sizes
 		// turns is the mean number of turns of a chat.
@@ -79,22 +80,21 @@
 	// sizes is a range of token counts.
 	sizes struct{ low, high int }
 
-	// chat is a chat that may come back.
+	// chat is a chat that may return for another turn.
 	chat struct {
 		name    string
 		account string
 		task    *task
-		held    int
+		tokens  int
 		due     time.Duration
 	}
 
-	maker struct {
+	generator struct {
 		shape  shape
 		random *rand.Rand
 		trace  *trace.Trace
 		chats  int
-		// waiting is the chats that will come back, by account, the earliest
-		// first.
+		// waiting holds the chats that will return, by account, the earliest first.
 		waiting map[string][]*chat
 	}
 )
@@ -105,14 +105,14 @@
 	if !ok {
 		return nil, fmt.Errorf("%w: %q", ErrUnknown, name)
 	}
-	m := &maker{
+	m := &generator{
 		shape:   s,
 		random:  rand.New(rand.NewPCG(seed, seedStream)),
 		trace:   &trace.Trace{},
 		waiting: map[string][]*chat{},
 	}
 	m.header(seed)
-	m.asks()
+	m.requests()
 	m.churn()
 	slices.SortStableFunc(m.trace.Events, func(a, b trace.Event) int {
 		return int(a.At - b.At)
@@ -120,17 +120,17 @@
 	return m.trace, nil
 }
 
-func (m *maker) header(seed uint64) {
-	h := &m.trace.Header
-	h.Name, h.Seed, h.Bound = m.shape.name, seed, m.shape.bound
-	h.Delay, h.Zones, h.Models = trace.Duration(m.shape.delay), m.shape.zones, m.shape.models
+func (g *generator) header(seed uint64) {
+	h := &g.trace.Header
+	h.Name, h.Seed, h.Bound = g.shape.name, seed, g.shape.bound
+	h.Delay, h.Zones, h.Models = trace.Duration(g.shape.delay), g.shape.zones, g.shape.models
 	for i := range nodes {
-		h.Nodes = append(h.Nodes, trace.Node{Instance: fmt.Sprintf("n%d", i+1), Zone: m.zone(i)})
+		h.Nodes = append(h.Nodes, trace.Node{Instance: fmt.Sprintf("n%d", i+1), Zone: g.zone(i)})
 	}
-	for _, model := range m.shape.models {
-		for i := range m.shape.endpoints[model.Name] {
+	for _, model := range g.shape.models {
+		for i := range g.shape.endpoints[model.Name] {
 			h.Endpoints = append(h.Endpoints, trace.Endpoint{
-				Endpoint: endpointName(model, i+1), Zone: m.zone(i), Model: model.Name,
+				Endpoint: endpointName(model, i+1), Zone: g.zone(i), Model: model.Name,
 			})
 		}
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (m *maker) zone(i int) string { return m.shape.zones[i%len(m.shape.zones)] }
+func (g *generator) zone(i int) string { return g.shape.zones[i%len(g.shape.zones)] }
 
 func accountName(i int) string { return fmt.Sprintf("a%d", i+1) }
 
@@ -150,60 +150,60 @@
 	return fmt.Sprintf("w%d", i)
 }
 
-// asks makes the requests: a Poisson process for each account, whose arrivals
-// are chats that are due again or new ones.
-func (m *maker) asks() {
+// requests generates the requests: a Poisson process for each account, whose arrivals
+// are returning chats that are due, or new ones.
+func (g *generator) requests() {
 	const peak = 4
 	for i := range accounts {
 		account := accountName(i)
-		most := m.shape.rate * share(i) * peak
+		peakRate := g.shape.rate * share(i) * peak
 		at := time.Duration(0)
 		for {
-			at += time.Duration(m.random.ExpFloat64() / most * float64(time.Second))
+			at += time.Duration(g.random.ExpFloat64() / peakRate * float64(time.Second))
 			if at >= Day {
 				break
 			}
-			if m.random.Float64()*peak < demand(i, at) {
-				m.ask(account, at)
+			if g.random.Float64()*peak < demand(i, at) {
+				g.request(account, at)
 			}
 		}
 	}
 }
 
-func (m *maker) ask(account string, at time.Duration) {
-	c := m.next(account, at)
+func (g *generator) request(account string, at time.Duration) {
+	c := g.next(account, at)
 	t := c.task
-	input := m.size(t.later)
-	if c.held == 0 {
-		input = m.size(t.first)
+	input := g.size(t.later)
+	if c.tokens == 0 {
+		input = g.size(t.first)
 	}
-	output := m.size(t.output)
-	m.trace.Events = append(m.trace.Events, trace.Event{
+	output := g.size(t.output)
+	g.trace.Events = append(g.trace.Events, trace.Event{
 		At: trace.Duration(at), Kind: trace.Ask, Account: account, Chat: c.name, Model: t.model,
-		Prefix: c.held, Input: input, Output: output, Once: t.once, Priority: t.priority,
+		Prefix: c.tokens, Input: input, Output: output, Once: t.once, Priority: t.priority,
 		Deadline: trace.Duration(t.deadline),
 	})
-	c.held += input + output
-	if m.random.Float64() < 1/t.turns {
+	c.tokens += input + output
+	if g.random.Float64() < 1/t.turns {
 		return
 	}
-	c.due = at + t.deadline + time.Duration(m.random.ExpFloat64()*float64(t.pause))
-	list := m.waiting[account]
-	place, _ := slices.BinarySearchFunc(list, c, func(a, b *chat) int { return int(a.due - b.due) })
-	m.waiting[account] = slices.Insert(list, place, c)
+	c.due = at + t.deadline + time.Duration(g.random.ExpFloat64()*float64(t.pause))
+	list := g.waiting[account]
+	index, _ := slices.BinarySearchFunc(list, c, func(a, b *chat) int { return int(a.due - b.due) })
+	g.waiting[account] = slices.Insert(list, index, c)
 }
 
-// next returns the chat that is due, or a new one.
-func (m *maker) next(account string, at time.Duration) *chat {
-	if list := m.waiting[account]; len(list) > 0 && list[0].due <= at {
-		m.waiting[account] = list[1:]
+// next returns the earliest chat that is due, or a new one.
+func (g *generator) next(account string, at time.Duration) *chat {
+	if list := g.waiting[account]; len(list) > 0 && list[0].due <= at {
+		g.waiting[account] = list[1:]
 		return list[0]
 	}
-	m.chats++
-	c := &chat{name: fmt.Sprintf("c%d", m.chats), account: account}
-	draw := m.random.Float64()
-	for i := range m.shape.tasks {
-		c.task = &m.shape.tasks[i]
+	g.chats++
+	c := &chat{name: fmt.Sprintf("c%d", g.chats), account: account}
+	draw := g.random.Float64()
+	for i := range g.shape.tasks {
+		c.task = &g.shape.tasks[i]
 		if draw -= c.task.share; draw < 0 {
 			break
 		}
@@ -211,10 +211,10 @@
 	return c
 }
 
-func (m *maker) size(s sizes) int { return s.low + m.random.IntN(s.high-s.low+1) }
+func (g *generator) size(s sizes) int { return s.low + g.random.IntN(s.high-s.low+1) }
 
-// share is the part of the demand that an account makes: three large ones and
-// seven small.
+// share returns an account's share of the demand: three accounts are large and seven
+// small.
 func share(i int) float64 {
 	large := []float64{0.30, 0.20, 0.15}
 	if i < len(large) {
@@ -223,9 +223,9 @@
 	return 0.05
 }
 
-// demand is an account's demand over that of the day: half at night, a surge
-// in the morning, and by day one of a large account, which comes and goes at
-// once.
+// demand returns an account's demand relative to its daytime demand: half at night, a
+// surge in the morning, and during the day a surge of one large account, which begins
+// and ends abruptly.
 func demand(account int, at time.Duration) float64 {
 	const (
 		surge     = 3.0
@@ -235,12 +235,12 @@
 	if account == 0 && at >= surgeFrom && at < surgeTo {
 		return surge
 	}
-	for i := 1; i < len(curve); i++ {
-		from, to := curve[i-1], curve[i]
+	for i := 1; i < len(demandCurve); i++ {
+		from, to := demandCurve[i-1], demandCurve[i]
 		if at < to.at {
-			part := float64(at-from.at) / float64(to.at-from.at)
-			return from.demand + part*(to.demand-from.demand)
+			fraction := float64(at-from.at) / float64(to.at-from.at)
+			return from.demand + fraction*(to.demand-from.demand)
 		}
 	}
-	return curve[len(curve)-1].demand
+	return demandCurve[len(demandCurve)-1].demand
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -10,8 +10,8 @@
 	"bulrushhinge.example/bulrushhinge/pkg/trace"
 )
 
-// The same seed gives the same trace, which can be read back, and the traces
-// have the sizes of the deployments and every kind of change.
+// TestMake guards against traces that differ for one seed or cannot be read back, and
+// against traces that lack the deployments' sizes or a kind of change.
 func TestMake(t *testing.T) {
 	sizes := map[string]int{"thies": 15, "karamanlis": 24}
 	require.Len(t, workload.Names(), len(sizes))
