--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws lines over seconds, for the reports of experiments and
-// accounts.
+// Package chart draws line charts over time in seconds, for the reports of experiments
+// and accounts.
 package chart
 
 import (
@@ -23,7 +23,7 @@
 	Points plotter.XYs
 }
 
-// Save draws lines over seconds into a file, in the format of its ending.
+// Save draws lines over seconds into a file, in the format of the file's extension.
 func Save(path, title, unit string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs what is due again and again.
+// Package periodic calls a function at a regular interval.
 package periodic
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Run calls a function once in each interval until the context ends. It returns
-// then; a call that lasts longer than the interval delays the next.
-func Run(ctx context.Context, interval time.Duration, due func(now time.Time)) {
+// Run calls f once in each interval until the context ends, and then returns. A call
+// that lasts longer than the interval delays the next.
+func Run(ctx context.Context, interval time.Duration, f func(now time.Time)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -16,7 +16,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			due(now)
+			f(now)
 		}
 	}
 }
