--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -12,7 +12,7 @@
 
 const adminPath = "/admin/"
 
-// apply sets each flag that a query names.
+// apply sets the flags named in query; the last value of a repeated name wins.
 func apply(flags *flag.FlagSet, query url.Values) error {
 	for name, values := range query {
 		if err := flags.Set(name, values[len(values)-1]); err != nil {
@@ -22,7 +22,8 @@
 	return nil
 }
 
-func settings(flags *flag.FlagSet) map[string]string {
+// flagValues returns the values of all flags by name.
+func flagValues(flags *flag.FlagSet) map[string]string {
 	values := map[string]string{}
 	flags.VisitAll(func(f *flag.Flag) { values[f.Name] = f.Value.String() })
 	return values
@@ -30,7 +31,7 @@
 
 func isAdmin(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, adminPath) }
 
-// pause waits, and reports false where the caller hung up.
+// pause sleeps for d. It returns false if the client disconnects first.
 func pause(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/standin/answer_fault.go
+++ b/internal/standin/answer_fault.go
@@ -8,35 +8,37 @@
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 )
 
-// crossed is an attempt that no node asked for.
-const crossed = "another"
+// foreignAttempt is an attempt ID that no node has sent.
+const foreignAttempt = "another"
 
-// faulty writes an answer's parts with what goes wrong.
-type faulty struct {
+// faultyWriter writes the parts of an answer and injects the configured faults.
+type faultyWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	faults  EndpointFaults
-	// resumed is set where the answer was asked for again.
+	// resumed is set if the client resumes the answer after a broken
+	// connection.
 	resumed bool
 	started bool
 }
 
-// head writes the head of the answer once.
-func (f *faulty) head(a *attempt) {
+// writeHeader sets the response headers before the first part.
+func (f *faultyWriter) writeHeader(a *attempt) {
 	if f.started {
 		return
 	}
 	f.started = true
 	id := a.id
 	if f.faults.Cross == "head" {
-		id = crossed
+		id = foreignAttempt
 	}
 	f.w.Header().Set(endpoint.HeaderAttempt, id)
 	f.w.Header().Set("Content-Type", a.kind)
 }
 
-// part writes a part, and reports false where the answer ends there.
-func (f *faulty) part(number int, part []byte) bool {
+// writePart writes one part of the answer. It returns false if the answer is to
+// be truncated there.
+func (f *faultyWriter) writePart(number int, part []byte) bool {
 	if !f.resumed {
 		switch number + 1 {
 		case f.faults.Break:
@@ -52,24 +54,25 @@
 		f.write(part)
 	}
 	if f.faults.Cross == "body" {
-		f.write(bytes.Replace(part, []byte(`"id":"`), []byte(`"id":"`+crossed), 1))
+		f.write(bytes.Replace(part, []byte(`"id":"`), []byte(`"id":"`+foreignAttempt), 1))
 	}
 	_ = f.control.Flush()
 	return true
 }
 
-func (f *faulty) write(part []byte) { _, _ = f.w.Write(part) }
+func (f *faultyWriter) write(part []byte) { _, _ = f.w.Write(part) }
 
-// short writes a whole answer of which a part is missing.
-func short(w http.ResponseWriter, data []byte) {
+// writeShort announces the full Content-Length, writes half of the body and
+// aborts the connection.
+func writeShort(w http.ResponseWriter, data []byte) {
 	w.Header().Set("Content-Length", fmt.Sprint(len(data)))
 	_, _ = w.Write(data[:len(data)/2])
 	panic(http.ErrAbortHandler)
 }
 
-// unframed writes half of an answer whose end is marked only by the end of its
-// connection.
-func unframed(w http.ResponseWriter, data []byte) {
+// writeUnframed writes half of an HTTP/1.0 body without Content-Length, so that
+// only the end of the connection marks its end.
+func writeUnframed(w http.ResponseWriter, data []byte) {
 	head := w.Header()
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// DefaultLinger is how long a request runs on after its connection broke.
+	// DefaultLinger is how long a request keeps running after its connection
+	// broke.
 	DefaultLinger = 2 * time.Second
-	// maxAttempts is how many attempts are remembered.
+	// maxAttempts is how many attempts are kept for resumption.
 	maxAttempts = 1024
 )
 
 type (
-	// attempt is one request with what it has answered so far, so that its
-	// stream can be asked for again after a broken connection.
+	// attempt is one request and the answer that it has produced so far, so
+	// that its stream can be resumed after a broken connection.
 	attempt struct {
 		id     string
 		cancel context.CancelFunc
@@ -32,14 +33,15 @@
 		ended   bool
 		broken  bool
 		readers int
-		// passed is how many parts have been written to a connection.
-		passed int
-		// left says that all connections that read the answer have ended.
-		left  bool
-		wrote chan struct{}
+		// written is how many parts have been written to a connection.
+		written int
+		// unread is set once no connection reads the answer any more.
+		unread bool
+		// changed is closed and replaced on every change.
+		changed chan struct{}
 	}
 
-	// attempts is the newest attempts of an endpoint.
+	// attempts holds the most recent attempts of an endpoint.
 	attempts struct {
 		mu    sync.Mutex
 		byID  map[string]*attempt
@@ -48,37 +50,39 @@
 )
 
 func newAttempt(id string, cancel context.CancelFunc) *attempt {
-	return &attempt{id: id, cancel: cancel, wrote: make(chan struct{})}
+	return &attempt{id: id, cancel: cancel, changed: make(chan struct{})}
 }
 
-// add adds a part to the answer: an event, or the whole body.
+// add appends a part to the answer: an event, or the whole body.
 func (a *attempt) add(part []byte) {
 	a.change(func() { a.parts = append(a.parts, part) })
 }
 
-// pass notes that the parts before a number have been written to a connection.
-func (a *attempt) pass(parts int) {
-	a.change(func() { a.passed = max(a.passed, parts) })
+// markWritten records that the first parts of the answer have been written to a
+// connection.
+func (a *attempt) markWritten(parts int) {
+	a.change(func() { a.written = max(a.written, parts) })
 }
 
-// delivered waits until so many parts have been written to a connection, or nobody
-// reads any more. It reports false where the request ended before.
-func (a *attempt) delivered(ctx context.Context, parts int) bool {
+// waitWritten waits until that many parts have been written to a connection or
+// no connection reads the answer any more. It returns false if ctx ends first.
+func (a *attempt) waitWritten(ctx context.Context, parts int) bool {
 	for {
 		a.mu.Lock()
-		done, wrote := a.passed >= parts || a.left, a.wrote
+		done, changed := a.written >= parts || a.unread, a.changed
 		a.mu.Unlock()
 		if done {
 			return true
 		}
 		select {
-		case <-wrote:
+		case <-changed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
+// change runs f with the mutex held and wakes the waiters.
 func (a *attempt) change(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,38 +90,41 @@
 	a.wake()
 }
 
-// wake tells all that wait for a change; the mutex must be held.
+// wake wakes the goroutines that wait for a change. The caller holds the mutex.
 func (a *attempt) wake() {
-	close(a.wrote)
-	a.wrote = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// next returns the parts from a number on and whether there will be more.
-func (a *attempt) next(from int) (parts [][]byte, ended bool, wrote <-chan struct{}) {
+// partsFrom returns the parts from index from on, whether the answer has ended,
+// and a channel that is closed on the next change. It panics with
+// http.ErrAbortHandler if the work crashed or ended without an answer.
+func (a *attempt) partsFrom(from int) (parts [][]byte, ended bool, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.broken {
 		panic(http.ErrAbortHandler)
 	}
-	return a.parts[min(from, len(a.parts)):], a.ended, a.wrote
+	return a.parts[min(from, len(a.parts)):], a.ended, a.changed
 }
 
-// join counts a connection; leave ends the request when none has come back for
-// a while.
-func (a *attempt) join() {
+// addReader registers a connection that reads the answer.
+func (a *attempt) addReader() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers++
 }
 
-func (a *attempt) leave() {
+// removeReader unregisters a connection. After the last one, the request is
+// canceled unless another connection resumes it within the linger time.
+func (a *attempt) removeReader() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers--
 	if a.readers > 0 {
 		return
 	}
-	a.left = true
+	a.unread = true
 	a.wake()
 	if a.ended {
 		return
@@ -148,18 +155,19 @@
 	return l.byID[id]
 }
 
-// run begins a request apart from its connection.
+// run starts work in a goroutine of its own, with a context that outlives the
+// connection of the request.
 func (e *Endpoint) run(r *http.Request, work func(r *http.Request, a *attempt)) *attempt {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	a := newAttempt(r.Header.Get(endpoint.HeaderAttempt), cancel)
-	a.faults, a.linger = e.next(), e.config.Linger
+	a.faults, a.linger = e.nextFaults(), e.config.Linger
 	if !a.faults.Forget {
 		e.attempts.put(a)
 	}
 	go func() {
 		defer cancel()
 		defer func() {
-			// A crash ends the work by the panic of an aborted handler.
+			// A crash panics with http.ErrAbortHandler.
 			broken := recover() != nil
 			a.change(func() { a.ended, a.broken = true, broken || len(a.parts) == 0 })
 		}()
@@ -168,20 +176,20 @@
 	return a
 }
 
-// serve passes an answer on from a part on, as its parts come.
+// serve writes the answer from part from on, as its parts are produced.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request, a *attempt, from int) {
-	a.join()
-	defer a.leave()
-	out := &faulty{w: w, control: http.NewResponseController(w), faults: a.faults, resumed: r.Method == http.MethodGet}
+	a.addReader()
+	defer a.removeReader()
+	out := &faultyWriter{w: w, control: http.NewResponseController(w), faults: a.faults, resumed: r.Method == http.MethodGet}
 	for at := from; ; {
-		parts, ended, wrote := a.next(at)
+		parts, ended, changed := a.partsFrom(at)
 		for _, part := range parts {
-			out.head(a)
-			if !out.part(at, part) {
+			out.writeHeader(a)
+			if !out.writePart(at, part) {
 				return
 			}
 			at++
-			a.pass(at)
+			a.markWritten(at)
 		}
 		if ended && len(parts) == 0 {
 			return
@@ -190,7 +198,7 @@
 			continue
 		}
 		select {
-		case <-wrote:
+		case <-changed:
 		case <-e.crashed:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -7,8 +7,9 @@
 )
 
 type (
-	// batch is the requests that an engine runs at once and those that wait,
-	// in the order of their priorities. Its owner locks it.
+	// batch holds the requests that an engine runs at once and a queue of
+	// those that wait, highest priority first. It is not safe for concurrent
+	// use.
 	batch struct {
 		size    int
 		running int
@@ -17,8 +18,8 @@
 		serial  uint64
 	}
 
-	// place is a request's place in the batch or before it.
-	place struct {
+	// slot is a request in the batch or in its queue.
+	slot struct {
 		priority int
 		serial   uint64
 		tokens   int
@@ -27,14 +28,14 @@
 		ready chan struct{}
 	}
 
-	waitHeap []*place
+	waitHeap []*slot
 )
 
-// join adds a request.
-func (b *batch) join(priority, tokens int) *place {
+// add adds a request; it runs at once if the batch has room.
+func (b *batch) add(priority, tokens int) *slot {
 	b.serial++
 	b.tokens += tokens
-	p := &place{priority: priority, serial: b.serial, tokens: tokens, index: -1, ready: make(chan struct{})}
+	p := &slot{priority: priority, serial: b.serial, tokens: tokens, index: -1, ready: make(chan struct{})}
 	if b.running < b.size {
 		b.running++
 		close(p.ready)
@@ -44,8 +45,9 @@
 	return p
 }
 
-// leave ends a request, whether it ran or still waited.
-func (b *batch) leave(p *place) {
+// remove removes a running or waiting request. A running one makes room for the
+// first in the queue.
+func (b *batch) remove(p *slot) {
 	b.tokens -= p.tokens
 	if p.index >= 0 {
 		heap.Remove(&b.waiting, p.index)
@@ -55,20 +57,21 @@
 		b.running--
 		return
 	}
-	next, ok := heap.Pop(&b.waiting).(*place)
+	next, ok := heap.Pop(&b.waiting).(*slot)
 	if ok {
 		close(next.ready)
 	}
 }
 
+// load returns the load of running and waiting requests together.
 func (b *batch) load() endpoint.LoadReport {
 	return endpoint.LoadReport{Requests: b.running + len(b.waiting), Tokens: b.tokens}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (h waitHeap) Len() int { return len(h) }
 
-// Less puts higher priorities first, and earlier requests among equals.
+// Less orders by descending priority, then by arrival.
 func (h waitHeap) Less(i, j int) bool {
 	if h[i].priority != h[j].priority {
 		return h[i].priority > h[j].priority
@@ -85,7 +88,7 @@
 
 // Push adds a waiting request.
 func (h *waitHeap) Push(x any) {
-	p, ok := x.(*place)
+	p, ok := x.(*slot)
 	if !ok {
 		return
 	}
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// prefixCache holds the prefixes of chats in limited memory; the least
-	// recently used goes first. Its owner locks it.
+	// prefixCache is an LRU cache of the prefixes of chats; limit and size are
+	// in tokens. It is not safe for concurrent use.
 	prefixCache struct {
 		limit   int
 		size    int
@@ -27,16 +27,17 @@
 	return &prefixCache{limit: limit, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// tokens returns how much of a chat is held.
+// tokens returns the number of cached tokens of a chat.
 func (c *prefixCache) tokens(chat string) int {
 	e := c.entries[chat]
 	if e == nil {
 		return 0
 	}
-	return held(e).tokens
+	return prefixOf(e).tokens
 }
 
-// store keeps a chat's prefix and evicts others where memory runs out.
+// store caches the prefix of a chat and evicts the least recently stored ones
+// if the limit is exceeded.
 func (c *prefixCache) store(chat string, tokens int) {
 	if chat == "" || tokens > c.limit {
 		return
@@ -46,7 +47,7 @@
 	c.size += tokens
 	c.events.add(endpoint.EventStore, chat, tokens)
 	for c.size > c.limit {
-		oldest := held(c.order.Back()).chat
+		oldest := prefixOf(c.order.Back()).chat
 		c.drop(oldest)
 		c.events.add(endpoint.EventEvict, oldest, 0)
 	}
@@ -57,12 +58,12 @@
 	if e == nil {
 		return
 	}
-	c.size -= held(e).tokens
+	c.size -= prefixOf(e).tokens
 	c.order.Remove(e)
 	delete(c.entries, chat)
 }
 
-func held(e *list.Element) *prefix {
+func prefixOf(e *list.Element) *prefix {
 	p, ok := e.Value.(*prefix)
 	if !ok {
 		return &prefix{}
--- a/internal/standin/chat.go
+++ b/internal/standin/chat.go
@@ -11,14 +11,14 @@
 )
 
 type (
-	// answer is what an engine makes of one request.
+	// answer holds what all parts of the answer to one request share.
 	answer struct {
 		attempt string
 		model   string
 		usage   endpoint.Usage
-		// first begins the answer with what was asked, so that a caller can
-		// tell its own answer from another's.
-		first string
+		// promptEnd is the end of the prompt. The answer starts with it, so
+		// that a caller can check that the answer belongs to its own request.
+		promptEnd string
 	}
 
 	completion struct {
@@ -57,7 +57,7 @@
 	}), 0)
 }
 
-// generate runs a chat request.
+// generate runs a chat request and adds its answer to the attempt.
 func (e *Endpoint) generate(r *http.Request, to *attempt, req endpoint.ChatRequest, body string, output int) {
 	prompt := len(body) / bytesPerToken
 	s := e.begin(r, body, prompt, output, to.faults)
@@ -65,12 +65,12 @@
 		return
 	}
 	defer s.end()
-	a := answer{attempt: to.id, model: req.Model, usage: usage(prompt, output, s.cached), first: lastWords(req)}
+	a := answer{attempt: to.id, model: req.Model, usage: usage(prompt, output, s.cached), promptEnd: endOfPrompt(req)}
 	if req.Stream {
 		e.stream(to, s, a, output)
 		return
 	}
-	e.whole(to, s, a, output)
+	e.complete(to, s, a, output)
 }
 
 func (e *Endpoint) stream(to *attempt, s *session, a answer, output int) {
@@ -79,19 +79,20 @@
 		if !s.step() {
 			return
 		}
-		to.add(numbered(i, chunk(a, e.token(a, i))))
-		s.crashAfterPassing(to, i+1)
+		to.add(numberedEvent(i, chunk(a, e.token(a, i))))
+		s.crashAfterWriting(to, i+1)
 	}
 	last := chunk(a, "")
 	stop := finishStop
 	last.Choices[0].FinishReason = &stop
 	last.Usage = &a.usage
-	to.add(numbered(output, last))
-	s.crashAfterPassing(to, output+1)
+	to.add(numberedEvent(output, last))
+	s.crashAfterWriting(to, output+1)
 	to.add(fmt.Appendf(nil, "id: %d\ndata: %s\n\n", output+1, endpoint.DoneMark))
 }
 
-func (e *Endpoint) whole(to *attempt, s *session, a answer, output int) {
+// complete generates the whole answer and adds it as one JSON body.
+func (e *Endpoint) complete(to *attempt, s *session, a answer, output int) {
 	to.kind = "application/json"
 	var text strings.Builder
 	for i := range output {
@@ -115,14 +116,14 @@
 
 func (e *Endpoint) token(a answer, i int) string {
 	if i == 0 {
-		return fmt.Sprintf("%s on %q: ", e.config.Name, a.first)
+		return fmt.Sprintf("%s on %q: ", e.config.Name, a.promptEnd)
 	}
 	return fmt.Sprintf("%s-%d ", e.config.Name, i)
 }
 
-// lastWords returns the end of a chat's last message; empty where that is no
-// plain text.
-func lastWords(req endpoint.ChatRequest) string {
+// endOfPrompt returns the end of the last message of a chat, or "" if its content
+// is not a string.
+func endOfPrompt(req endpoint.ChatRequest) string {
 	const size = 64
 	var text string
 	if len(req.Messages) == 0 || json.Unmarshal(req.Messages[len(req.Messages)-1].Content, &text) != nil {
@@ -149,9 +150,9 @@
 	}
 }
 
-// numbered returns an event with its number, from which the answer can be asked
-// for again.
-func numbered(number int, c endpoint.Chunk) []byte {
+// numberedEvent returns a server-sent event with its number as ID, so that the
+// answer can be resumed from there.
+func numberedEvent(number int, c endpoint.Chunk) []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return nil
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -27,32 +27,34 @@
 )
 
 type (
-	// EndpointConfig is the settings of an Endpoint; zero values are defaults.
+	// EndpointConfig holds the settings of an Endpoint. Zero values of Step,
+	// Prefill, MaxBatch, CacheTokens and Linger select the defaults.
 	EndpointConfig struct {
 		Name string
-		// Step is the time an engine takes for one token of each stream.
+		// Step is the time to generate one token of a stream.
 		Step time.Duration
-		// Prefill is the time an engine takes for one prompt token that its
-		// cache does not hold.
+		// Prefill is the time to process one prompt token that is not cached.
 		Prefill time.Duration
-		// MaxBatch is how many requests run at once; more wait by priority.
+		// MaxBatch is how many requests run at once; the others wait, highest
+		// priority first.
 		MaxBatch int
 		// CacheTokens is the size of the prefix cache, in tokens.
 		CacheTokens int
 		Models      []string
-		// Linger is how long a request runs on after its connection broke.
+		// Linger is how long a request keeps running after its connection
+		// broke.
 		Linger time.Duration
-		// Unfenced makes the endpoint take every order, also one with an old
-		// fencing number.
+		// Unfenced makes the endpoint accept orders with any fencing number,
+		// even an old one.
 		Unfenced bool
 		Faults   EndpointFaults
-		// OnCrash ends the process that the endpoint stands for, when a request
-		// that carries the crash mark runs. Connections break in any case.
+		// OnCrash, if set, is called when the endpoint crashes, to end the
+		// process that it simulates. Its connections break in any case.
 		OnCrash func()
 	}
 
-	// Endpoint is a stand-in of a model engine and of a plain service. It is
-	// an http.Handler.
+	// Endpoint simulates an endpoint that is both a model engine and a plain
+	// service. It is an http.Handler.
 	Endpoint struct {
 		config  EndpointConfig
 		mux     *http.ServeMux
@@ -63,10 +65,10 @@
 		cache   *prefixCache
 		loads   loadHistory
 		ran     map[string]int
-		// attempts can be asked for again.
+		// attempts holds the attempts that can be resumed.
 		attempts *attempts
 		started  int
-		turned   int
+		refused  int
 		orders   orders
 		// crashed is closed when the endpoint crashes.
 		crashed chan struct{}
@@ -97,11 +99,11 @@
 	e.mux.HandleFunc("PUT /v1/kv/{chat...}", e.importKV)
 	e.mux.HandleFunc("GET /admin/faults", e.showFaults)
 	e.mux.HandleFunc("PUT /admin/faults", e.setFaults)
-	e.mux.HandleFunc("PUT /admin/leaving", e.leave)
+	e.mux.HandleFunc("PUT /admin/leaving", e.announceLeaving)
 	return e
 }
 
-// ServeHTTP serves the endpoints' published protocol and the admin calls.
+// ServeHTTP serves the published protocol of endpoints and the admin calls.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if isAdmin(r) {
 		e.mux.ServeHTTP(w, r)
@@ -118,21 +120,21 @@
 		w.Header().Set(endpoint.HeaderLeaving, "0")
 	}
 	if f.Shed && isRequest(r) {
-		e.turnAway(w, f)
+		e.refuse(w, f)
 		return
 	}
 	e.mux.ServeHTTP(w, r)
 }
 
-// isRequest reports whether a call is a caller's request.
+// isRequest reports whether r is a caller's request that a node forwarded.
 func isRequest(r *http.Request) bool {
 	return r.URL.Path == chatPath || strings.HasPrefix(r.URL.Path, servicesPath)
 }
 
-// turnAway refuses a request that is not run.
-func (e *Endpoint) turnAway(w http.ResponseWriter, f EndpointFaults) {
+// refuse answers 503 and reports that the request did not run.
+func (e *Endpoint) refuse(w http.ResponseWriter, f EndpointFaults) {
 	e.mu.Lock()
-	e.turned++
+	e.refused++
 	e.mu.Unlock()
 	if f.Rest > 0 {
 		w.Header().Set(endpoint.HeaderRest, strconv.FormatFloat(f.Rest.Seconds(), 'f', -1, 64))
@@ -141,20 +143,20 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Turned returns how many requests were turned away.
+// Turned returns how many requests were refused because of the Shed fault.
 func (e *Endpoint) Turned() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.turned
+	return e.refused
 }
 
-// SetLeaving makes the endpoint say that it is leaving, in its report and in all
-// its answers.
+// SetLeaving sets whether the endpoint announces that it is leaving, in its load
+// report and in the headers of all answers.
 func (e *Endpoint) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
-	e.note()
+	e.recordLoad()
 }
 
 // Leaving reports whether the endpoint is leaving.
@@ -174,7 +176,7 @@
 	return e.started
 }
 
-// Ran returns how often each body was run.
+// Ran returns how many times a request with each body has started to run.
 func (e *Endpoint) Ran() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,7 +187,7 @@
 	return ran
 }
 
-// Running returns how many requests are in progress, with those that wait.
+// Running returns the number of running and waiting requests.
 func (e *Endpoint) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,7 +201,7 @@
 	return e.cache.tokens(chat)
 }
 
-func (e *Endpoint) leave(w http.ResponseWriter, _ *http.Request) {
+func (e *Endpoint) announceLeaving(w http.ResponseWriter, _ *http.Request) {
 	e.SetLeaving(true)
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -213,7 +215,8 @@
 	}
 }
 
-// crash breaks every connection, as the death of the process would.
+// crash aborts all connections, as the end of the process would. It panics with
+// http.ErrAbortHandler.
 func (e *Endpoint) crash() {
 	e.mu.Lock()
 	first := !e.isCrashed()
@@ -227,7 +230,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// report returns the load now. The caller holds the lock.
+// report returns the current load. The caller holds the mutex.
 func (e *Endpoint) report() endpoint.LoadReport {
 	r := e.batch.load()
 	r.Models = e.config.Models
--- a/internal/standin/endpoint_fault.go
+++ b/internal/standin/endpoint_fault.go
@@ -7,53 +7,57 @@
 	"time"
 )
 
-// EndpointFaults is what goes wrong at a stand-in endpoint.
+// EndpointFaults holds the faults that an Endpoint injects.
 type EndpointFaults struct {
-	// Delay comes before each answer.
+	// Delay is the pause before each answer.
 	Delay time.Duration `help:"Pause before each answer."`
-	// Down breaks each connection without an answer.
+	// Down aborts each connection without an answer.
 	Down bool `help:"Break each connection without an answer."`
-	// Stale keeps the load report as it is.
+	// Stale freezes the load report.
 	Stale bool `help:"Keep the load report as it is."`
-	// Lag is the age of the load that is reported.
+	// Lag is the age of the reported load.
 	Lag time.Duration `help:"Age of the reported load."`
-	// Crash is the mark of a request that crashes the endpoint.
+	// Crash makes the endpoint crash when it runs a request whose body contains
+	// this text.
 	Crash string `help:"Crash on a request whose body holds this text."`
 	// EventLag is the age at which cache events are published.
 	EventLag time.Duration `help:"Age at which cache events are published."`
-	// EventGap loses every event whose number it divides.
+	// EventGap drops each cache event whose serial it divides.
 	EventGap int `help:"Lose each cache event whose number this divides."`
-	// Unfenced makes the endpoint take orders with old fencing numbers.
+	// Unfenced makes the endpoint accept orders with old fencing numbers. Only
+	// EndpointConfig.Unfenced has an effect.
 	Unfenced bool `help:"Take orders with old fencing numbers."`
-	// CrashAt is how many parts a request with the crash mark answers first.
+	// CrashAt is how many parts of its answer a request that contains Crash
+	// produces before the crash.
 	CrashAt int `help:"Crash only after that many parts of the answer."`
-	// Break breaks the connection before a part of an answer; the request
-	// runs on and can be asked for again.
+	// Break aborts the connection before that part of an answer, counted from
+	// 1; the request keeps running and can be resumed.
 	Break int `help:"Break the connection before that part of the answer."`
-	// Truncate ends an answer properly before a part.
+	// Truncate ends the response before that part, without a connection error.
 	Truncate int `help:"End an answer before that part."`
-	// Skip leaves a part of an answer out.
+	// Skip omits that part of an answer.
 	Skip int `help:"Leave that part of the answer out."`
 	// Repeat sends each part twice.
 	Repeat bool `help:"Send each part of an answer twice."`
-	// Cross answers for another attempt, in its "head" or in its "body".
+	// Cross puts the ID of another attempt into the "head" or the "body" of an
+	// answer.
 	Cross string `help:"Answer for another attempt: head or body."`
-	// Forget keeps no attempt, so that none can be asked for again.
+	// Forget keeps no attempts, so that none can be resumed.
 	Forget bool `help:"Keep no attempt."`
-	// Frame is a plain answer that is "short" of its announced length, or
-	// "unframed", without one.
+	// Frame makes plain answers "short", with less than the announced length, or
+	// "unframed", without a length.
 	Frame string `help:"Wrong length of plain answers: short or unframed."`
-	// Shed turns all requests away, and Rest is the time for which a node that was
-	// turned away is asked to send nothing.
+	// Shed refuses all requests, and Rest is the backoff that the refusals ask
+	// of the node.
 	Shed bool          `help:"Turn all requests away."`
 	Rest time.Duration `help:"Time for which nodes that were turned away are to send nothing."`
-	// Budget is how many more answers go wrong, over all endpoints that share
-	// it; nil is all.
+	// Budget is how many more answers get faults, over all endpoints that share
+	// it; nil means no limit.
 	Budget *atomic.Int64 `kong:"-"`
 }
 
-// flags names the faults for admin calls, in the same words as the command
-// line.
+// flags returns the faults as flags for admin calls, under the same names as on
+// the command line.
 func (f *EndpointFaults) flags() *flag.FlagSet {
 	s := flag.NewFlagSet("faults", flag.ContinueOnError)
 	s.DurationVar(&f.Delay, "delay", f.Delay, "")
@@ -77,23 +81,24 @@
 	return s
 }
 
-// Faults returns what goes wrong.
+// Faults returns the current faults.
 func (e *Endpoint) Faults() EndpointFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the faults.
 func (e *Endpoint) SetFaults(f EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.note()
+	e.recordLoad()
 }
 
-// next returns what goes wrong with the next answer.
-func (e *Endpoint) next() EndpointFaults {
+// nextFaults returns the faults of the next answer and uses up one unit of the
+// budget.
+func (e *Endpoint) nextFaults() EndpointFaults {
 	f := e.Faults()
 	if f.Budget != nil && f.Budget.Add(-1) < 0 {
 		return EndpointFaults{}
@@ -103,10 +108,10 @@
 
 func (e *Endpoint) showFaults(w http.ResponseWriter, _ *http.Request) {
 	f := e.Faults()
-	writeJSON(w, settings(f.flags()))
+	writeJSON(w, flagValues(f.flags()))
 }
 
-// setFaults changes the faults that the query names, as in
+// setFaults changes the faults named in the query, as in
 // PUT /admin/faults?delay=50ms&down=true.
 func (e *Endpoint) setFaults(w http.ResponseWriter, r *http.Request) {
 	f := e.Faults()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -10,33 +10,33 @@
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 )
 
-// session is one request at the engine, from its arrival to its end.
+// session is one request at the engine, from arrival to completion.
 type session struct {
-	endpoint *Endpoint
-	ctx      context.Context
-	cancel   context.CancelFunc
-	place    *place
-	chat     string
-	prompt   int
-	cached   int
-	made     int
-	faults   EndpointFaults
-	// crash is set where the request carries the crash mark.
+	endpoint  *Endpoint
+	ctx       context.Context
+	cancel    context.CancelFunc
+	slot      *slot
+	chat      string
+	prompt    int
+	cached    int
+	generated int
+	faults    EndpointFaults
+	// crash is set if the body contains the text of the Crash fault.
 	crash bool
 }
 
-// begin waits for a place in the batch and does the prefill. It returns nil
-// where the caller hung up or the deadline passed.
+// begin waits until the batch has room and does the prefill. It returns nil if
+// the request is canceled or its deadline passes.
 func (e *Endpoint) begin(r *http.Request, body string, prompt, output int, f EndpointFaults) *session {
 	s := &session{endpoint: e, chat: r.Header.Get(endpoint.HeaderChat), prompt: prompt, faults: f}
-	s.ctx, s.cancel = untilDeadline(r)
+	s.ctx, s.cancel = withDeadline(r)
 	priority, _ := strconv.Atoi(r.Header.Get(endpoint.HeaderPriority))
 	e.mu.Lock()
-	s.place = e.batch.join(priority, prompt+output)
-	e.note()
+	s.slot = e.batch.add(priority, prompt+output)
+	e.recordLoad()
 	e.mu.Unlock()
-	if !s.wait(s.place.ready) {
-		s.leave()
+	if !s.wait(s.slot.ready) {
+		s.leaveBatch()
 		return nil
 	}
 	s.start(body)
@@ -47,7 +47,8 @@
 	return s
 }
 
-// start runs the request: from here on it counts as run.
+// start records that the request runs, looks up its cached prefix and crashes if
+// the crash is due before the first part.
 func (s *session) start(body string) {
 	e := s.endpoint
 	e.mu.Lock()
@@ -61,7 +62,7 @@
 	s.crashAfter(0)
 }
 
-// crashAfter crashes the endpoint where its request is to do so after so many
+// crashAfter crashes the endpoint if the request is to crash it after that many
 // parts of the answer.
 func (s *session) crashAfter(parts int) {
 	if s.crash && parts == s.faults.CrashAt {
@@ -69,41 +70,42 @@
 	}
 }
 
-// crashAfterPassing is crashAfter for parts that have to be on their way to the
-// node first.
-func (s *session) crashAfterPassing(a *attempt, parts int) {
-	if s.crash && parts == s.faults.CrashAt && a.delivered(s.ctx, parts) {
+// crashAfterWriting is like crashAfter, but first waits until the parts have been
+// written to the connection.
+func (s *session) crashAfterWriting(a *attempt, parts int) {
+	if s.crash && parts == s.faults.CrashAt && a.waitWritten(s.ctx, parts) {
 		s.endpoint.crash()
 	}
 }
 
-// step makes one token. It reports false where the caller hung up.
+// step generates one token. It returns false if the request is canceled or its
+// deadline passes.
 func (s *session) step() bool {
 	if !s.pause(s.endpoint.config.Step) {
 		return false
 	}
-	s.made++
+	s.generated++
 	return true
 }
 
-// end keeps the prefix and frees the place.
+// end caches the prefix and leaves the batch.
 func (s *session) end() {
 	e := s.endpoint
 	e.mu.Lock()
 	if s.prompt > 0 {
-		e.cache.store(s.chat, s.prompt+s.made)
+		e.cache.store(s.chat, s.prompt+s.generated)
 	}
 	e.mu.Unlock()
-	s.leave()
+	s.leaveBatch()
 }
 
-func (s *session) leave() {
+func (s *session) leaveBatch() {
 	s.cancel()
 	e := s.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.batch.leave(s.place)
-	e.note()
+	e.batch.remove(s.slot)
+	e.recordLoad()
 }
 
 func (s *session) pause(d time.Duration) bool {
@@ -130,7 +132,7 @@
 	}
 }
 
-func untilDeadline(r *http.Request) (context.Context, context.CancelFunc) {
+func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
 	left, err := time.ParseDuration(r.Header.Get(endpoint.HeaderDeadline))
 	if err != nil {
 		return context.WithCancel(r.Context())
--- a/internal/standin/event.go
+++ b/internal/standin/event.go
@@ -8,7 +8,7 @@
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 )
 
-// maxEvents is how many cache events are kept; older ones are lost.
+// maxEvents is how many cache events are kept; older ones are dropped.
 const maxEvents = 4096
 
 type (
@@ -34,8 +34,8 @@
 	}
 }
 
-// after returns the events with higher serials that happened before a time.
-// Where gap is above zero, each event whose serial it divides is lost.
+// after returns the events with higher serials that happened by until. If gap is
+// positive, each event whose serial it divides is left out.
 func (l *eventLog) after(serial uint64, until time.Time, gap int) endpoint.CacheEvents {
 	report := endpoint.CacheEvents{Events: []endpoint.CacheEvent{}, Last: serial}
 	for _, e := range l.events {
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -11,10 +11,11 @@
 const maxVersions = 16
 
 type (
-	// history is the newest versions of one value. Its owner locks it.
+	// history holds the newest versions of one value, oldest first. It is not
+	// safe for concurrent use.
 	history struct {
 		versions []published
-		turn     bool
+		flipped  bool
 	}
 
 	published struct {
@@ -22,8 +23,8 @@
 		at time.Time
 	}
 
-	// told is a value and the platform's epoch as it was read.
-	told struct {
+	// epochValue is a value with the platform's epoch at the time of the read.
+	epochValue struct {
 		platform.Value
 		epoch uint64
 	}
@@ -40,13 +41,13 @@
 	}
 }
 
-// restore forgets the versions that were published after a time.
+// restore deletes the versions that were published after to.
 func (h *history) restore(to time.Time) {
 	h.versions = slices.DeleteFunc(h.versions, func(v published) bool { return v.at.After(to) })
 }
 
-// read returns the newest version that was published by a time. Where flip is
-// set, each second read returns the one before.
+// read returns the newest version that was published by until. If flip is set,
+// every second read returns the version before it.
 func (h *history) read(until time.Time, flip bool) platform.Value {
 	newest := -1
 	for i, v := range h.versions {
@@ -57,8 +58,8 @@
 	if newest < 0 {
 		return platform.Value{}
 	}
-	h.turn = !h.turn
-	if flip && h.turn && newest > 0 {
+	h.flipped = !h.flipped
+	if flip && h.flipped && newest > 0 {
 		newest--
 	}
 	return h.versions[newest].Value
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -7,11 +7,11 @@
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 )
 
-// maxLoads is how many past reports are kept for lagged ones.
+// maxLoads is how many past load reports are kept for the Lag fault.
 const maxLoads = 1 << 14
 
 type (
-	// loadHistory holds past loads, so that reports can lag.
+	// loadHistory holds past loads, oldest first, for the Lag fault.
 	loadHistory []loadSample
 
 	loadSample struct {
@@ -20,24 +20,25 @@
 	}
 )
 
-// note remembers the load now. The caller holds the lock.
-func (e *Endpoint) note() {
+// recordLoad records the current load. The caller holds the mutex.
+func (e *Endpoint) recordLoad() {
 	if e.faults.Stale {
 		return
 	}
 	now := time.Now()
 	e.loads = append(e.loads, loadSample{at: now, report: e.report()})
-	e.loads = e.loads.since(now.Add(-e.faults.Lag))
+	e.loads = e.loads.trim(now.Add(-e.faults.Lag))
 }
 
-// since drops what is older than the newest report at the given time.
-func (h loadHistory) since(at time.Time) loadHistory {
+// trim drops the samples before the one that was current at the given time.
+func (h loadHistory) trim(at time.Time) loadHistory {
 	for len(h) > 1 && (len(h) > maxLoads || !h[1].at.After(at)) {
 		h = h[1:]
 	}
 	return h
 }
 
+// at returns the load that was current at the given time.
 func (h loadHistory) at(at time.Time) endpoint.LoadReport {
 	var report endpoint.LoadReport
 	for _, s := range h {
--- a/internal/standin/order_test.go
+++ b/internal/standin/order_test.go
@@ -11,9 +11,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/standin"
 )
 
+// A node that was paused and has been replaced as the endpoint's owner must not
+// undo an order of the new owner: its fencing number is older.
 func TestOrdersWithOldFencingNumbers(t *testing.T) {
-	// Guards against this failure: a home that was replaced while it was paused undoes the new
-	// home's order.
 	for _, unfenced := range []bool{false, true} {
 		e := standin.NewEndpoint(standin.EndpointConfig{Name: "e", Unfenced: unfenced})
 		server := httptest.NewServer(e)
@@ -24,7 +24,7 @@
 		newer := endpoint.Order{Fence: 2, Models: []string{"new"}}
 		for range 2 {
 			reply, err := client.Order(t.Context(), addr, newer)
-			require.NoError(t, err, "also where the answer was lost and it is sent again")
+			require.NoError(t, err, "an order that is resent after a lost reply is accepted")
 			require.Equal(t, uint64(2), reply.Fence)
 		}
 		reply, err := client.Order(t.Context(), addr, endpoint.Order{Fence: 1, Models: []string{"old"}})
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -20,7 +20,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := e.next()
+	f := e.nextFaults()
 	s := e.begin(r, string(body), 0, 1, f)
 	if s == nil {
 		return
@@ -35,7 +35,7 @@
 
 func answerPlain(w http.ResponseWriter, f EndpointFaults, answer echo) {
 	if f.Cross != "" {
-		w.Header().Set(endpoint.HeaderAttempt, crossed)
+		w.Header().Set(endpoint.HeaderAttempt, foreignAttempt)
 	}
 	if f.Frame == "" {
 		writeJSON(w, answer)
@@ -47,7 +47,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if f.Frame == "short" {
-		short(w, data)
+		writeShort(w, data)
 	}
-	unframed(w, data)
+	writeUnframed(w, data)
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins of the systems that surround the fleet:
-// the operators' platform and the endpoints. Tests and the demo run them in
-// process, the command line as processes of their own.
+// Package standin simulates the systems that surround the fleet: the operators'
+// platform and the endpoints. Tests and the demo run them in process, the command
+// line as separate processes.
 package standin
 
 import (
@@ -24,7 +24,7 @@
 )
 
 type (
-	// Platform is a stand-in of the platform's configuration service: a set of
+	// Platform simulates the configuration service of the platform: a set of
 	// versioned values that can be read and watched. It is an http.Handler.
 	Platform struct {
 		mux *http.ServeMux
@@ -35,9 +35,9 @@
 		faults  PlatformFaults
 		// epoch counts how often the platform was restored.
 		epoch uint64
-		// frozen is when the platform became stale.
-		frozen time.Time
-		reads  int
+		// staleSince is when the Stale fault was set.
+		staleSince time.Time
+		reads      int
 	}
 )
 
@@ -56,7 +56,7 @@
 	return p
 }
 
-// ServeHTTP serves the platform's published protocol and the admin calls.
+// ServeHTTP serves the published protocol of the platform and the admin calls.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if isAdmin(r) {
 		p.mux.ServeHTTP(w, r)
@@ -76,7 +76,7 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// Set publishes a value, as the operators' pipeline would.
+// Set publishes a new version of a value, as the operators' pipeline does.
 func (p *Platform) Set(key string, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,8 +89,8 @@
 	p.wake()
 }
 
-// Restore takes back what was published after a time: the platform is restored
-// from a copy of then, and gives the versions out again.
+// Restore simulates a restore from a backup of the given time: later versions are
+// deleted, their numbers are used again, and the epoch is incremented.
 func (p *Platform) Restore(to time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,21 +101,21 @@
 	p.wake()
 }
 
-// SetDown makes every read fail, or ends that.
+// SetDown turns the Down fault on or off.
 func (p *Platform) SetDown(down bool) {
 	f := p.Faults()
 	f.Down = down
 	p.SetFaults(f)
 }
 
-// Reads returns how many calls were made.
+// Reads returns how many calls were made, admin calls aside.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads
 }
 
-// wake tells the watches that something changed. The caller holds the lock.
+// wake wakes the watches after a change. The caller holds the mutex.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -144,7 +144,8 @@
 	}
 	v, found := p.await(r, key, after, min(wait, maxWatchWait))
 	if p.Faults().Down {
-		// A watch that was waiting must not tell what comes during an outage.
+		// A watch that began before the outage must not return a value that is
+		// published during it.
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
@@ -156,8 +157,9 @@
 	p.write(w, v)
 }
 
-// await waits for a value with a higher version.
-func (p *Platform) await(r *http.Request, key string, after uint64, wait time.Duration) (told, bool) {
+// await waits until the value has a version above after. It returns false, with
+// the current value, if the wait elapses or the client disconnects first.
+func (p *Platform) await(r *http.Request, key string, after uint64, wait time.Duration) (epochValue, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -190,17 +192,17 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) value(key string) (told, <-chan struct{}) {
+func (p *Platform) value(key string) (epochValue, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.values[key]
 	if h == nil {
-		return told{epoch: p.epoch}, p.changed
+		return epochValue{epoch: p.epoch}, p.changed
 	}
-	return told{Value: h.read(p.visible(time.Now()), p.faults.Flip), epoch: p.epoch}, p.changed
+	return epochValue{Value: h.read(p.visibleUntil(time.Now()), p.faults.Flip), epoch: p.epoch}, p.changed
 }
 
-func (p *Platform) write(w http.ResponseWriter, v told) {
+func (p *Platform) write(w http.ResponseWriter, v epochValue) {
 	f := p.Faults()
 	data := v.Data
 	if f.Half {
@@ -214,8 +216,8 @@
 	_, _ = w.Write(data)
 }
 
-// writeEpoch names the epoch, once the platform has been restored.
-func (v told) writeEpoch(w http.ResponseWriter) {
+// writeEpoch sets the epoch header if the platform has ever been restored.
+func (v epochValue) writeEpoch(w http.ResponseWriter) {
 	if v.epoch > 0 {
 		w.Header().Set(platform.HeaderEpoch, strconv.FormatUint(v.epoch, 10))
 	}
--- a/internal/standin/platform_fault.go
+++ b/internal/standin/platform_fault.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// PlatformFaults is what goes wrong at a stand-in platform.
+// PlatformFaults holds the faults that a Platform injects.
 type PlatformFaults struct {
 	// Down fails each read.
 	Down bool `help:"Fail each read."`
-	// Stale shows the values as they were when the fault began.
+	// Stale serves the values as they were when the fault was set.
 	Stale bool `help:"Show the values as they were when the fault began."`
-	// Delay comes before each answer.
+	// Delay is the pause before each answer.
 	Delay time.Duration `help:"Pause before each answer."`
-	// Lag is the age at which values are shown.
+	// Lag is the age at which new versions become visible.
 	Lag time.Duration `help:"Age at which values are shown."`
-	// Half cuts each value in half.
+	// Half truncates each value to half its length.
 	Half bool `help:"Cut each value in half."`
-	// Pad is the bytes added to each value.
+	// Pad is the number of zero bytes appended to each value.
 	Pad int `help:"Bytes added to each value."`
-	// Flip shows the newest value and the one before it in turn.
+	// Flip alternates between the newest version and the one before it.
 	Flip bool `help:"Show the newest value and the one before it in turn."`
 }
 
@@ -36,36 +36,36 @@
 	return s
 }
 
-// Faults returns what goes wrong.
+// Faults returns the current faults.
 func (p *Platform) Faults() PlatformFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f.Stale && !p.faults.Stale {
-		p.frozen = time.Now()
+		p.staleSince = time.Now()
 	}
 	p.faults = f
 	p.wake()
 }
 
-// visible returns the time by which a value was published to be shown. The
-// caller holds the lock.
-func (p *Platform) visible(now time.Time) time.Time {
+// visibleUntil returns the time of publication up to which versions are visible.
+// The caller holds the mutex.
+func (p *Platform) visibleUntil(now time.Time) time.Time {
 	if p.faults.Stale {
-		return p.frozen
+		return p.staleSince
 	}
 	return now.Add(-p.faults.Lag)
 }
 
 func (p *Platform) showFaults(w http.ResponseWriter, _ *http.Request) {
 	f := p.Faults()
-	writeJSON(w, settings(f.flags()))
+	writeJSON(w, flagValues(f.flags()))
 }
 
 func (p *Platform) setFaults(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -51,15 +51,15 @@
 			took = append(took, time.Since(start))
 		}
 		require.Greater(t, took[0], 100*time.Millisecond, "a cold prompt is prefilled")
-		require.Equal(t, time.Millisecond, took[1], "a cached one is not")
+		require.Equal(t, time.Millisecond, took[1], "a cached prompt is not prefilled")
 		call(e, "POST", "/v1/chat/completions", body, endpoint.HeaderChat, "c2")
 		call(e, "POST", "/v1/chat/completions", body, endpoint.HeaderChat, "c3")
-		require.Zero(t, e.Cached("c1"), "limited memory drops the oldest prefix")
+		require.Zero(t, e.Cached("c1"), "the oldest prefix is evicted when the cache is full")
 		require.Positive(t, e.Cached("c3"))
 	})
 }
 
-func TestEngineRunsPrioritiesFirstWhenFull(t *testing.T) {
+func TestEngineQueuesByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.NewEndpoint(standin.EndpointConfig{MaxBatch: 1})
 		var mu sync.Mutex
@@ -80,27 +80,27 @@
 	})
 }
 
-func TestEngineEndsAtTheDeadlineAndOnHangUp(t *testing.T) {
+func TestEngineCancelsOnDeadlineAndDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.NewEndpoint(standin.EndpointConfig{})
 		start := time.Now()
 		require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 			call(e, "POST", "/v1/chat/completions", chat(1000, "x"), endpoint.HeaderDeadline, "20ms")
-		}, "an answer without its end must not look whole")
+		}, "an incomplete answer must not look complete")
 		require.Equal(t, 20*time.Millisecond, time.Since(start))
-		ctx, hangUp := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		go e.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/chat/completions", strings.NewReader(chat(1000, "x"))).WithContext(ctx))
 		synctest.Wait()
 		require.Equal(t, 1, e.Running())
-		hangUp()
-		// The engine holds a broken stream for its resumption, but not for long.
+		disconnect()
+		// A request with a broken stream keeps running for DefaultLinger.
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		require.Zero(t, e.Running())
 	})
 }
 
-func TestEndpointReportsLag(t *testing.T) {
+func TestEndpointLoadReportLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.NewEndpoint(standin.EndpointConfig{Step: time.Second, Faults: standin.EndpointFaults{Lag: 100 * time.Millisecond}})
 		load := func() int { return decode[endpoint.LoadReport](t, call(e, "GET", "/v1/load", "")).Requests }
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestEndpointEventsAreLateAndHaveGaps(t *testing.T) {
+func TestEndpointEventLagAndGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.NewEndpoint(standin.EndpointConfig{Faults: standin.EndpointFaults{EventLag: time.Second, EventGap: 2}})
 		for i := range 4 {
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestEndpointFaultsByAdminCall(t *testing.T) {
+func TestEndpointFaultsThroughAdminAPI(t *testing.T) {
 	e := standin.NewEndpoint(standin.EndpointConfig{})
 	require.Equal(t, http.StatusBadRequest, call(e, "PUT", "/admin/faults?nonsense=1", "").Code)
 	require.Equal(t, http.StatusBadRequest, call(e, "PUT", "/admin/faults?delay=fast", "").Code)
@@ -148,7 +148,7 @@
 	require.Equal(t, map[string]int{"boom": 1}, e.Ran())
 }
 
-func TestEndpointMovesKV(t *testing.T) {
+func TestEndpointExportsAndImportsKV(t *testing.T) {
 	from, to := standin.NewEndpoint(standin.EndpointConfig{}), standin.NewEndpoint(standin.EndpointConfig{})
 	call(from, "POST", "/v1/chat/completions", chat(1, "x"), endpoint.HeaderChat, "a/c1")
 	exported := call(from, "GET", "/v1/kv/a%2Fc1", "")
