--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -13,19 +13,20 @@
 const (
 	chatsPerCaller = 4
 	answerTokens   = 24
-	// turnsPerChat is how many of a caller's turns pass before one of its chats
-	// ends and another begins.
+	// turnsPerChat is how many requests a caller sends before it replaces one of
+	// its chats by a new one.
 	turnsPerChat = 9
-	// Of every cycle of requests one is plain and one must not be repeated.
+	// In every cycle of requests, the one at index plainTurn calls the plain
+	// service and the one at onceTurn must not be repeated.
 	cycle     = 6
 	plainTurn = 2
 	onceTurn  = 4
-	// maxTries is how often a caller asks again when it is told to come back.
+	// maxTries is how many times a caller sends a request in total.
 	maxTries = 5
 )
 
 type (
-	// caller is one application that asks on behalf of its chats.
+	// caller simulates one application with several chats.
 	caller struct {
 		demo   *Demo
 		number int
@@ -33,8 +34,8 @@
 		chats  []*entry.Chat
 	}
 
-	// mark is what tells one request from all others.
-	mark string
+	// requestMark is a text that is unique to one request and part of its body.
+	requestMark string
 )
 
 func (d *Demo) newCaller(number int) *caller {
@@ -48,29 +49,31 @@
 	return c
 }
 
-// work sends one request after the other until the demo's time is over.
-func (c *caller) work(ctx context.Context) {
+// run sends one request after the other until the duration has elapsed, and
+// during the overtime while the joined endpoint has got no request.
+func (c *caller) run(ctx context.Context) {
 	defer c.client.Close()
 	end := c.demo.started.Add(c.demo.config.Duration)
 	last := end.Add(c.demo.config.Overtime)
-	for i := 0; time.Now().Before(end) || time.Now().Before(last) && !c.demo.joinedWorks(); i++ {
-		m := mark(fmt.Sprintf("request-%d-%d.", c.number, i))
+	for i := 0; time.Now().Before(end) || time.Now().Before(last) && !c.demo.joinedHasWork(); i++ {
+		m := requestMark(fmt.Sprintf("request-%d-%d.", c.number, i))
 		switch i % cycle {
 		case plainTurn:
-			c.repeat(ctx, kindPlain, m, false, c.call)
+			c.sendWithRetries(ctx, kindPlain, m, false, c.call)
 		case onceTurn:
-			c.repeat(ctx, kindOnce, m, true, c.call)
+			c.sendWithRetries(ctx, kindOnce, m, true, c.call)
 		default:
 			chat := c.chat(i)
-			c.repeat(ctx, kindChat, m, false, func(ctx context.Context, m mark, o entry.Options) error {
+			c.sendWithRetries(ctx, kindChat, m, false, func(ctx context.Context, m requestMark, o entry.Options) error {
 				return c.turn(ctx, chat, m, o)
 			})
 		}
 	}
 }
 
-// chat returns the chat of a turn. Chats end after some turns and others begin,
-// so that an endpoint that joined finds chats that are nowhere yet.
+// chat returns the chat of a turn. Every turnsPerChat turns it replaces one by a
+// new chat, so that there are chats that no endpoint has cached yet for an
+// endpoint that joins.
 func (c *caller) chat(turn int) *entry.Chat {
 	place := turn % len(c.chats)
 	if turn%turnsPerChat == 0 {
@@ -80,29 +83,30 @@
 	return c.chats[place]
 }
 
-// repeat sends a request until it is answered or must not be sent again.
-func (c *caller) repeat(ctx context.Context, k kind, m mark, once bool, send func(context.Context, mark, entry.Options) error) {
+// sendWithRetries sends a request until it is answered, may not be sent again or
+// has been sent maxTries times.
+func (c *caller) sendWithRetries(ctx context.Context, k kind, m requestMark, once bool, send func(context.Context, requestMark, entry.Options) error) {
 	t := c.demo.tally
-	t.sent(k)
+	t.addSent(k)
 	o := entry.Options{Once: once}
 	for try := 1; ; try++ {
 		err := send(ctx, m, o)
 		if err == nil {
-			t.whole(k, m)
+			t.addComplete(k, m)
 			return
 		}
 		after, ok := c.client.Again(ctx, err, &o)
 		if !ok || try == maxTries {
-			t.failed(k, m, err)
+			t.addFailure(k, m, err)
 			return
 		}
-		t.again(k)
+		t.addRetry(k)
 		time.Sleep(after)
 	}
 }
 
-// turn asks within a chat.
-func (c *caller) turn(ctx context.Context, chat *entry.Chat, m mark, o entry.Options) error {
+// turn sends the next message of a chat and reads the streamed answer.
+func (c *caller) turn(ctx context.Context, chat *entry.Chat, m requestMark, o entry.Options) error {
 	o.MaxTokens = answerTokens
 	start := time.Now()
 	s, err := chat.Ask(ctx, "please answer "+string(m), o)
@@ -114,19 +118,19 @@
 	if err != nil {
 		return err
 	}
-	c.demo.tally.first(time.Since(start))
+	c.demo.tally.addFirstToken(time.Since(start))
 	if _, err := s.ReadAll(); err != nil {
 		return err
 	}
-	if !holds(text, string(m)) {
-		c.demo.tally.crossed(m)
+	if !contains(text, string(m)) {
+		c.demo.tally.addMismatch(m)
 	}
-	c.demo.tally.reuse(len(chat.Messages()) > 2, s.Usage())
+	c.demo.tally.addReuse(len(chat.Messages()) > 2, s.Usage())
 	return nil
 }
 
 // call calls the plain service.
-func (c *caller) call(ctx context.Context, m mark, o entry.Options) error {
+func (c *caller) call(ctx context.Context, m requestMark, o entry.Options) error {
 	body, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -137,8 +141,8 @@
 	if err != nil {
 		return err
 	}
-	if !holds(string(r.Body), string(m)) {
-		c.demo.tally.crossed(m)
+	if !contains(string(r.Body), string(m)) {
+		c.demo.tally.addMismatch(m)
 	}
 	return nil
 }
--- a/internal/demo/callers_test.go
+++ b/internal/demo/callers_test.go
@@ -17,31 +17,33 @@
 )
 
 var (
-	// block is a block of shell lines on the callers' page.
+	// block matches a block of shell commands in docs/callers.md.
 	block = regexp.MustCompile("(?s)```sh\n(.*?)```")
-	// assign keeps what a line prints, expect is what its answer must be.
+	// assign matches a command whose output is kept in a variable. expect
+	// matches a command with the status and the text that its answer must have.
 	assign = regexp.MustCompile(`^([A-Z]+)=\$\((.*) \| (jq|grep) .*\)$`)
 	expect = regexp.MustCompile(`^(.*?)   # (\d+) (.*)$`)
-	// word is an argument of a shell line: quoted or bare.
+	// word matches an argument of a shell command, quoted or not.
 	word = regexp.MustCompile(`"((?:[^"\\]|\\.)*)"|(\S+)`)
 )
 
-// page runs the lines of the callers' page in the shell's place: curl with the
-// few options that they use.
-type page struct {
+// commandRunner runs the shell commands of docs/callers.md without a shell. It
+// supports curl with the options that occur there.
+type commandRunner struct {
 	t    *testing.T
 	vars map[string]string
 	ran  int
 }
 
-// TestCallersPage runs each line of docs/callers.md against the demo.
+// TestCallersPage runs each command of docs/callers.md against the demo, so that
+// the page cannot differ from what the fleet answers.
 func TestCallersPage(t *testing.T) {
 	text, err := os.ReadFile("../../docs/callers.md")
 	require.NoError(t, err)
 	d, err := demo.New(demo.Config{Deployment: "thies", Out: io.Discard})
 	require.NoError(t, err)
 	defer func() { require.NoError(t, d.Close()) }()
-	p := &page{t: t, vars: map[string]string{}}
+	p := &commandRunner{t: t, vars: map[string]string{}}
 	export, line, _ := strings.Cut(d.Curl(), "\n")
 	for _, pair := range strings.Fields(export)[1:] {
 		name, value, _ := strings.Cut(pair, "=")
@@ -56,7 +58,7 @@
 	require.Greater(t, p.ran, 10)
 }
 
-func (p *page) run(line string) {
+func (p *commandRunner) run(line string) {
 	p.t.Helper()
 	p.ran++
 	if m := assign.FindStringSubmatch(line); m != nil {
@@ -78,8 +80,8 @@
 	require.Contains(p.t, body, m[3], line)
 }
 
-// curl sends what a curl line would.
-func (p *page) curl(line string) (*http.Response, string) {
+// curl sends the request of a curl command.
+func (p *commandRunner) curl(line string) (*http.Response, string) {
 	p.t.Helper()
 	args := p.args(line)
 	require.Equal(p.t, "curl", args[0])
@@ -116,7 +118,7 @@
 }
 
 // args splits a line as a shell does.
-func (p *page) args(line string) []string {
+func (p *commandRunner) args(line string) []string {
 	p.t.Helper()
 	var args []string
 	for _, m := range word.FindAllStringSubmatch(line, -1) {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs an example deployment through a bounded mixed workload and
-// checks the fleet's promises on the way: returning chats, plain services and
-// calls that must not be repeated, while an endpoint joins, another leaves and a
-// node stops.
+// Package demo runs an example deployment under a mixed workload of limited
+// duration and checks the fleet's guarantees. The workload consists of returning
+// chats, calls of plain services and calls that must not be repeated; meanwhile an
+// endpoint joins, another leaves and a node stops.
 package demo
 
 import (
@@ -35,24 +35,25 @@
 	finishTimeout  = 30 * time.Second
 	progressPeriod = time.Second
 	samplePeriod   = 20 * time.Millisecond
-	// leaveGrace is how long a leaving endpoint may still get new work.
+	// leaveGrace is how long a leaving endpoint may still get new requests.
 	leaveGrace = 2500 * time.Millisecond
 )
 
-// Shares of the duration after which something happens.
+// Fractions of the duration after which an endpoint joins, another leaves and a
+// node stops.
 const (
-	joinShare  = 0.15
-	leaveShare = 0.3
-	stopShare  = 0.5
+	joinFraction  = 0.15
+	leaveFraction = 0.3
+	stopFraction  = 0.5
 )
 
 var (
-	// ErrBroken is returned where a promise of the fleet did not hold.
+	// ErrBroken is returned if a guarantee of the fleet did not hold.
 	ErrBroken = errors.New("demo: a promise was broken")
-	// ErrDeployment is returned for an example that does not exist.
+	// ErrDeployment is returned for an unknown example deployment.
 	ErrDeployment = errors.New("demo: unknown deployment")
 
-	// Deployments is the example deployments by name.
+	// Deployments holds the example deployments by name.
 	Deployments = map[string]func() loopback.Config{
 		"thies":      loopback.Thies,
 		"karamanlis": loopback.Karamanlis,
@@ -60,39 +61,41 @@
 )
 
 type (
-	// Config is the settings of a Demo; zero values are defaults.
+	// Config holds the settings of a Demo. Zero values of Duration, Overtime and
+	// Callers select the defaults.
 	Config struct {
-		// Deployment is the name of an example.
+		// Deployment is a key of Deployments.
 		Deployment string
 		// Duration is how long callers send requests.
 		Duration time.Duration
-		// Overtime is how much longer they do so where the endpoint that joined
-		// has got no work yet, as on a slow machine.
+		// Overtime is how much longer they continue while the endpoint that
+		// joined has got no request, as may happen on a slow machine.
 		Overtime time.Duration
-		// Callers is how many callers there are at once.
+		// Callers is the number of concurrent callers.
 		Callers int
-		// Out takes progress and summary.
+		// Out receives the progress and the summary.
 		Out io.Writer
 	}
 
 	// Demo is a running example deployment.
 	Demo struct {
-		config   Config
-		fleet    *loopback.Fleet
-		example  loopback.Config
-		model    string
-		plain    string
-		started  time.Time
-		tally    *tally
-		skew     *skew
-		leaving  *loopback.Endpoint
-		joined   atomic.Pointer[loopback.Endpoint]
-		leftWith int
-		printing sync.Mutex
+		config         Config
+		fleet          *loopback.Fleet
+		example        loopback.Config
+		model          string
+		plain          string
+		started        time.Time
+		tally          *tally
+		skew           *skew
+		leaving        *loopback.Endpoint
+		joined         atomic.Pointer[loopback.Endpoint]
+		startedInGrace int
+		printing       sync.Mutex
 	}
 )
 
-// New starts the example deployment.
+// New starts the example deployment and waits until it is ready. It returns
+// ErrDeployment if the example is unknown.
 func New(c Config) (*Demo, error) {
 	c.Duration = cmp.Or(c.Duration, DefaultDuration)
 	c.Overtime = cmp.Or(c.Overtime, DefaultOvertime)
@@ -125,20 +128,20 @@
 // Close stops the deployment.
 func (d *Demo) Close() error { return d.fleet.Close() }
 
-// Run sends the workload and prints a summary. It returns ErrBroken where a
-// promise did not hold.
+// Run sends the workload and prints a summary. It returns ErrBroken if a
+// guarantee did not hold.
 func (d *Demo) Run(ctx context.Context) error {
 	d.started = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, d.config.Duration+d.config.Overtime+finishTimeout)
 	defer cancel()
 	stop := make(chan struct{})
 	var watching sync.WaitGroup
-	watching.Go(func() { d.watch(stop) })
+	watching.Go(func() { d.monitor(stop) })
 	var changing, working sync.WaitGroup
 	changed := make(chan error, 1)
-	changing.Go(func() { changed <- d.change(ctx) })
+	changing.Go(func() { changed <- d.changeFleet(ctx) })
 	for i := range d.config.Callers {
-		working.Go(func() { d.newCaller(i).work(ctx) })
+		working.Go(func() { d.newCaller(i).run(ctx) })
 	}
 	working.Wait()
 	changing.Wait()
@@ -150,28 +153,29 @@
 	return d.report()
 }
 
-// Addr returns where callers reach the first node.
+// Addr returns the caller address of the first node.
 func (d *Demo) Addr() netip.AddrPort { return d.fleet.Caller(d.example.Nodes[0].Name) }
 
-// Curl returns the lines by which a shell reaches the deployment.
+// Curl returns shell commands that send a request to the deployment.
 func (d *Demo) Curl() string {
 	return fmt.Sprintf(`export NODE=%v KEY=%s MODEL=%s SERVICE=%s
 curl -N -H "Authorization: Bearer $KEY" http://$NODE%s -d "{\"model\":\"$MODEL\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}"
 `, d.Addr(), loopback.Secret(d.account(0)), d.model, d.plain, entry.PathChat)
 }
 
-// change makes an endpoint join, another leave and a node stop.
-func (d *Demo) change(ctx context.Context) error {
+// changeFleet lets an endpoint join, another leave and a node stop, and waits for
+// the end of the duration.
+func (d *Demo) changeFleet(ctx context.Context) error {
 	engine := d.example.Endpoints[0]
 	joining := engine
 	joining.Name = "joined"
-	d.until(joinShare)
+	d.sleepUntil(joinFraction)
 	if err := d.fleet.StartEndpoint(joining); err != nil {
 		return err
 	}
 	d.joined.Store(d.fleet.Endpoint(joining.Name))
 	d.event("endpoint %s joins", joining.Name)
-	d.until(leaveShare)
+	d.sleepUntil(leaveFraction)
 	d.leaving = d.fleet.Endpoint(engine.Name)
 	if err := d.fleet.LeaveEndpoint(engine.Name); err != nil {
 		return err
@@ -180,22 +184,22 @@
 	grace := time.AfterFunc(leaveGrace, func() {
 		d.printing.Lock()
 		defer d.printing.Unlock()
-		d.leftWith = d.leaving.Started()
+		d.startedInGrace = d.leaving.Started()
 	})
 	defer grace.Stop()
-	d.until(stopShare)
+	d.sleepUntil(stopFraction)
 	last := d.example.Nodes[len(d.example.Nodes)-1].Name
 	d.event("node %s stops", last)
 	if err := d.fleet.StopNode(ctx, last); err != nil {
 		return err
 	}
 	d.event("node %s has stopped", last)
-	d.until(1)
+	d.sleepUntil(1)
 	return nil
 }
 
-// watch prints progress and samples the engines' loads.
-func (d *Demo) watch(stop <-chan struct{}) {
+// monitor prints the progress and samples the engines' loads until stop is closed.
+func (d *Demo) monitor(stop <-chan struct{}) {
 	progress := time.NewTicker(progressPeriod)
 	defer progress.Stop()
 	sample := time.NewTicker(samplePeriod)
@@ -207,13 +211,13 @@
 		case <-progress.C:
 			d.event("%d answers", d.tally.answers())
 		case <-sample.C:
-			d.skew.sample(d.engines())
+			d.skew.sample(d.engineLoads())
 		}
 	}
 }
 
-// engines returns the loads of the engines that take work.
-func (d *Demo) engines() []int {
+// engineLoads returns the loads of the engines that are not leaving.
+func (d *Demo) engineLoads() []int {
 	var loads []int
 	service := d.example.Endpoints[0].Service
 	for _, e := range d.fleet.Endpoints() {
@@ -224,15 +228,15 @@
 	return loads
 }
 
-// joinedWorks reports whether the endpoint that joined got work.
-func (d *Demo) joinedWorks() bool {
+// joinedHasWork reports whether the endpoint that joined has got a request.
+func (d *Demo) joinedHasWork() bool {
 	e := d.joined.Load()
 	return e != nil && e.Started() > 0
 }
 
-// until waits for a share of the duration.
-func (d *Demo) until(share float64) {
-	time.Sleep(time.Until(d.started.Add(time.Duration(share * float64(d.config.Duration)))))
+// sleepUntil sleeps until that fraction of the duration has elapsed.
+func (d *Demo) sleepUntil(fraction float64) {
+	time.Sleep(time.Until(d.started.Add(time.Duration(fraction * float64(d.config.Duration)))))
 }
 
 func (d *Demo) account(i int) string {
@@ -259,7 +263,7 @@
 	return ""
 }
 
-// addrs returns where callers reach the first nodes.
+// addrs returns the caller addresses of the first nodes.
 func (d *Demo) addrs() []netip.AddrPort {
 	const seeds = 3
 	var list []netip.AddrPort
@@ -269,4 +273,4 @@
 	return list
 }
 
-func holds(text, part string) bool { return strings.Contains(text, part) }
+func contains(text, part string) bool { return strings.Contains(text, part) }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -16,7 +16,7 @@
 		deployment string
 		duration   time.Duration
 	}{
-		// Long enough for the leaving endpoint's grace to end.
+		// Long enough that leaveGrace ends before the run does.
 		{"thies", 4 * time.Second},
 		{"karamanlis", time.Second},
 	}
@@ -34,7 +34,9 @@
 	}
 }
 
-func TestDemoTellsBrokenPromises(t *testing.T) {
+// TestDemoReportsBrokenGuarantees guards against a demo that passes although no
+// endpoint answers.
+func TestDemoReportsBrokenGuarantees(t *testing.T) {
 	demo.Deployments["down"] = func() loopback.Config {
 		c := loopback.Thies()
 		for i := range c.Endpoints {
@@ -51,7 +53,7 @@
 	require.Contains(t, out.String(), "BROKEN  every request got its whole answer")
 }
 
-func TestDemoKnowsItsDeployments(t *testing.T) {
+func TestNewRejectsUnknownDeployment(t *testing.T) {
 	_, err := demo.New(demo.Config{Deployment: "elsewhere"})
 	require.ErrorIs(t, err, demo.ErrDeployment)
 }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -17,44 +17,47 @@
 	kinds
 )
 
-// recentMeans is how many samples make a mean: nodes learn each other's loads
-// by heartbeats, so the mean that they can hold an engine to is that of about
-// the time between two.
-const recentMeans = 25
+// meanSamples is how many samples the mean load is averaged over. Nodes know each
+// other's loads only from heartbeats, so they can limit an engine only to the mean
+// over about one heartbeat interval.
+const meanSamples = 25
 
 type (
 	kind int
 
-	// count is what became of the requests of one kind.
+	// count counts the requests of one kind by their results.
 	count struct {
-		sent    int
-		whole   int
-		again   int
-		notRun  int
-		unknown int
-		cut     int
+		sent      int
+		complete  int
+		retried   int
+		notRun    int
+		unknown   int
+		truncated int
 	}
 
-	// tally counts answers. It is safe for concurrent use.
+	// tally collects the results of requests. Its methods are safe for
+	// concurrent use.
 	tally struct {
-		mu     sync.Mutex
-		counts [kinds]count
-		firsts []time.Duration
-		// wholes and notRuns name the requests that must not be repeated and
-		// got a whole answer, or were said not to have run.
-		wholes  map[mark]bool
-		notRuns map[mark]bool
-		others  []mark
-		// prompt and cached are the prompt tokens of returning turns.
-		prompt int
-		cached int
-		last   error
+		mu              sync.Mutex
+		counts          [kinds]count
+		firstTokenTimes []time.Duration
+		// completedOnce holds the requests that must not be repeated and got a
+		// complete answer, reportedNotRun those of any kind that were reported
+		// as not run.
+		completedOnce  map[requestMark]bool
+		reportedNotRun map[requestMark]bool
+		mismatched     []requestMark
+		// prompt and cached count the prompt tokens of all turns after the
+		// first of a chat, and how many of them were cached.
+		prompt  int
+		cached  int
+		lastErr error
 	}
 
-	// skew is the engines' loads over time, against the multiple of the mean
-	// that none may exceed. It is shown and not judged: at a few requests an
-	// engine, the loads that nodes know from the last heartbeats differ from
-	// those of the moment by more than the bound leaves.
+	// skew compares the engines' loads over time with bound, the multiple of
+	// the mean that none may exceed. It is printed but does not fail the demo:
+	// at a few requests per engine, the loads that nodes know from the last
+	// heartbeats differ from the current ones by more than the bound allows.
 	skew struct {
 		bound  float64
 		mu     sync.Mutex
@@ -70,29 +73,33 @@
 }
 
 func newTally() *tally {
-	return &tally{wholes: map[mark]bool{}, notRuns: map[mark]bool{}}
+	return &tally{completedOnce: map[requestMark]bool{}, reportedNotRun: map[requestMark]bool{}}
 }
 
-func (t *tally) sent(k kind) { t.add(func() { t.counts[k].sent++ }) }
+func (t *tally) addSent(k kind) { t.update(func() { t.counts[k].sent++ }) }
 
-func (t *tally) again(k kind) { t.add(func() { t.counts[k].again++ }) }
+func (t *tally) addRetry(k kind) { t.update(func() { t.counts[k].retried++ }) }
 
-func (t *tally) first(d time.Duration) { t.add(func() { t.firsts = append(t.firsts, d) }) }
+func (t *tally) addFirstToken(d time.Duration) {
+	t.update(func() { t.firstTokenTimes = append(t.firstTokenTimes, d) })
+}
 
-func (t *tally) crossed(m mark) { t.add(func() { t.others = append(t.others, m) }) }
+func (t *tally) addMismatch(m requestMark) {
+	t.update(func() { t.mismatched = append(t.mismatched, m) })
+}
 
-func (t *tally) whole(k kind, m mark) {
-	t.add(func() {
-		t.counts[k].whole++
+func (t *tally) addComplete(k kind, m requestMark) {
+	t.update(func() {
+		t.counts[k].complete++
 		if k == kindOnce {
-			t.wholes[m] = true
+			t.completedOnce[m] = true
 		}
 	})
 }
 
-// failed counts a request that got no whole answer, by what its caller was
-// told.
-func (t *tally) failed(k kind, m mark, err error) {
+// addFailure counts a request that got no complete answer, by whether the error
+// says that it ran. Errors that say nothing about it count as truncated answers.
+func (t *tally) addFailure(k kind, m requestMark, err error) {
 	ran := entry.RanYes
 	var refused *entry.Refusal
 	switch {
@@ -101,69 +108,71 @@
 	case errors.Is(err, entry.ErrNoNode):
 		ran = entry.RanNot
 	}
-	t.add(func() {
-		t.last = err
+	t.update(func() {
+		t.lastErr = err
 		switch ran {
 		case entry.RanNot:
 			t.counts[k].notRun++
-			t.notRuns[m] = true
+			t.reportedNotRun[m] = true
 		case entry.RanUnknown:
 			t.counts[k].unknown++
 		default:
-			t.counts[k].cut++
+			t.counts[k].truncated++
 		}
 	})
 }
 
-// reuse counts the prompt tokens of a turn of a chat that returned.
-func (t *tally) reuse(returned bool, u entry.Usage) {
+// addReuse counts the prompt tokens of a turn unless it is the first of its chat.
+func (t *tally) addReuse(returned bool, u entry.Usage) {
 	if !returned {
 		return
 	}
-	t.add(func() {
+	t.update(func() {
 		t.prompt += u.PromptTokens
 		t.cached += u.PromptDetails.CachedTokens
 	})
 }
 
+// answers returns the number of complete answers.
 func (t *tally) answers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := 0
 	for _, c := range t.counts {
-		sum += c.whole
+		sum += c.complete
 	}
 	return sum
 }
 
-func (t *tally) add(change func()) {
+// update runs change with the mutex held.
+func (t *tally) update(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
 }
 
-// sample takes the loads of the engines at one moment.
+// sample records the current loads of the engines.
 func (s *skew) sample(loads []int) {
 	total := 0
 	for _, l := range loads {
 		total += l
 	}
-	most := float64(slices.Max(loads))
+	highest := float64(slices.Max(loads))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent = append(s.recent, float64(total)/float64(len(loads)))
-	if len(s.recent) > recentMeans {
+	if len(s.recent) > meanSamples {
 		s.recent = s.recent[1:]
 	}
 	mean := max(average(s.recent), s.floor())
-	s.ratios = append(s.ratios, most/mean)
-	if most > s.bound*mean {
+	s.ratios = append(s.ratios, highest/mean)
+	if highest > s.bound*mean {
 		s.over++
 	}
 }
 
-// floor is the least that counts as a mean: where it is smaller, the bound
-// leaves room for no request above it.
+// floor returns the smallest mean that sample uses. If the mean were smaller, the
+// bound would not allow even one request above it.
 func (s *skew) floor() float64 {
 	if s.bound <= 1 {
 		return 1
@@ -179,7 +188,7 @@
 	return sum / float64(max(len(list), 1))
 }
 
-// quantile returns a quantile of a list; 0 of an empty one.
+// quantile returns the q-quantile of a list, or 0 if the list is empty.
 func quantile[T float64 | time.Duration](list []T, q float64) T {
 	if len(list) == 0 {
 		return 0
