--- a/pkg/manifest/check.go
+++ b/pkg/manifest/check.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// namePattern is what a name may hold. It leaves out the slash: chats are kept
-// apart by "account/chat", and an account named "a/b" could meet account "a"
-// with a chat named "b/…".
+// namePattern matches valid names. They contain no slash, because chats are
+// identified by "account/chat": a chat of an account "a/b" could get the same
+// identifier as a chat "b/…" of account "a".
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// checker collects contradictions.
+// checker collects the problems of a decoded manifest.
 type checker struct {
 	problems Problems
 }
 
-// Check returns everything that contradicts itself in a manifest, as Problems,
-// or nil.
-func (m *Manifest) Check() error { return m.contradictions().err() }
+// Check returns all invalid values and contradictions of the manifest, as
+// Problems, or nil if there are none.
+func (m *Manifest) Check() error { return m.validate().err() }
 
-func (m *Manifest) contradictions() Problems {
+func (m *Manifest) validate() Problems {
 	c := &checker{}
 	if m.Revision == 0 {
-		c.note("revision", "must be 1 or more")
+		c.add("revision", "must be 1 or more")
 	}
 	c.deployments(m)
 	c.zones(m)
@@ -35,7 +35,7 @@
 	return c.problems
 }
 
-func (c *checker) note(path, format string, args ...any) {
+func (c *checker) add(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
@@ -45,7 +45,7 @@
 		path := fmt.Sprintf("deployments[%d]", i)
 		c.name(seen, path, d.Name)
 		if math.IsNaN(d.Bound) || math.IsInf(d.Bound, 0) || d.Bound < 1 {
-			c.note(path+".bound", "%v is below 1: no endpoint could carry the mean load", d.Bound)
+			c.add(path+".bound", "%v is below 1: no endpoint could carry the mean load", d.Bound)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	for i, z := range m.Zones {
 		path := fmt.Sprintf("zones[%d]", i)
 		c.name(seen, path, z.Name)
-		c.form(path+".region", z.Region)
+		c.syntax(path+".region", z.Region)
 	}
 }
 
@@ -65,7 +65,7 @@
 		path := fmt.Sprintf("models[%d]", i)
 		c.name(seen, path, model.Name)
 		if len(model.Versions) == 0 {
-			c.note(path+".versions", "names no version")
+			c.add(path+".versions", "names no version")
 		}
 		c.distinct(path+".versions", model.Versions)
 		c.distinct(path+".adapters", model.Adapters)
@@ -86,11 +86,11 @@
 		path := fmt.Sprintf("services[%d]", i)
 		c.name(seen, path, s.Name)
 		if _, ok := known.deployments[s.Deployment]; !ok {
-			c.note(path+".deployment", "there is no deployment %q", s.Deployment)
+			c.add(path+".deployment", "there is no deployment %q", s.Deployment)
 		}
 		c.kind(path, s)
 		for j, model := range s.Models {
-			c.served(served, known.models, fmt.Sprintf("%s.models[%d]", path, j), model, s.Name)
+			c.checkServed(served, known.models, fmt.Sprintf("%s.models[%d]", path, j), model, s.Name)
 		}
 	}
 }
@@ -98,20 +98,20 @@
 func (c *checker) kind(path string, s Service) {
 	switch {
 	case s.Kind != KindChat && s.Kind != KindPlain:
-		c.note(path+".kind", "%q is neither %q nor %q", s.Kind, KindChat, KindPlain)
+		c.add(path+".kind", "%q is neither %q nor %q", s.Kind, KindChat, KindPlain)
 	case s.Kind == KindChat && len(s.Models) == 0:
-		c.note(path+".models", "a chat service needs a model")
+		c.add(path+".models", "a chat service needs a model")
 	case s.Kind == KindPlain && len(s.Models) > 0:
-		c.note(path+".models", "a plain service has no models")
+		c.add(path+".models", "a plain service has no models")
 	}
 }
 
-func (c *checker) served(served, known names, path, model, service string) {
+func (c *checker) checkServed(served, known names, path, model, service string) {
 	if _, ok := known[model]; !ok {
-		c.note(path, "there is no model %q", model)
+		c.add(path, "there is no model %q", model)
 	}
 	if other, ok := served[model]; ok {
-		c.note(path, "model %q is already served by service %q", model, other)
+		c.add(path, "model %q is already served by service %q", model, other)
 		return
 	}
 	served[model] = service
@@ -124,30 +124,30 @@
 		path := fmt.Sprintf("accounts[%d]", i)
 		c.name(seen, path, a.Name)
 		if other, ok := keys[a.Key]; ok {
-			c.note(path+".key", "is also the key of account %q", other)
+			c.add(path+".key", "is also the key of account %q", other)
 		}
 		keys[a.Key] = a.Name
 		if !isDigest(a.Key) {
-			c.note(path+".key", "must be a SHA-256 digest: %d lower-case hexadecimal digits", 2*digestBytes)
+			c.add(path+".key", "must be a SHA-256 digest: %d lower-case hexadecimal digits", 2*digestBytes)
 		}
 		c.positive(path+".rate", a.Rate)
 		c.positive(path+".burst", a.Burst)
 	}
 }
 
-// name checks the name of a list's entry, which must be the only one.
+// name checks that the name of a list entry is valid and unique in its list.
 func (c *checker) name(seen names, path, name string) {
-	c.form(path+".name", name)
+	c.syntax(path+".name", name)
 	if first, ok := seen[name]; ok {
-		c.note(path+".name", "%q is already the name of %s", name, first)
+		c.add(path+".name", "%q is already the name of %s", name, first)
 		return
 	}
 	seen[name] = path
 }
 
-func (c *checker) form(path, name string) {
+func (c *checker) syntax(path, name string) {
 	if !namePattern.MatchString(name) {
-		c.note(path, "%q is no name: 1 to 128 of A-Z a-z 0-9 . _ - that start with a letter or digit", name)
+		c.add(path, "%q is no name: 1 to 128 of A-Z a-z 0-9 . _ - that start with a letter or digit", name)
 	}
 }
 
@@ -155,9 +155,9 @@
 	seen := names{}
 	for i, name := range list {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		c.form(at, name)
+		c.syntax(at, name)
 		if _, ok := seen[name]; ok {
-			c.note(at, "%q is given twice", name)
+			c.add(at, "%q is given twice", name)
 		}
 		seen[name] = at
 	}
@@ -165,11 +165,11 @@
 
 func (c *checker) positive(path string, n float64) {
 	if math.IsNaN(n) || math.IsInf(n, 0) || n <= 0 {
-		c.note(path, "%v is not above 0", n)
+		c.add(path, "%v is not above 0", n)
 	}
 }
 
-// names maps a name to where or whose it is.
+// names maps a name to the path or the owner of its first use.
 type names map[string]string
 
 func isDigest(s string) bool {
--- a/pkg/manifest/decode.go
+++ b/pkg/manifest/decode.go
@@ -17,53 +17,53 @@
 var bytesType = reflect.TypeFor[[]byte]()
 
 type (
-	// decoder reads JSON into a value and notes every unknown, doubled, missing
-	// and mistyped field with its place. The decoder of encoding/json stops at
-	// the first fault, takes the last of doubled fields and says nothing of
-	// missing ones; operators would accept what they did not mean.
+	// decoder decodes JSON into a value and records every unknown, duplicate,
+	// missing and mistyped field with its path. The decoder of encoding/json
+	// stops at the first error, keeps the last of duplicate fields and ignores
+	// missing ones, so operators could accept what they did not intend.
 	decoder struct {
 		data     []byte
 		dec      *json.Decoder
 		problems Problems
-		// lines is the line of each place; nil where nobody asks.
+		// lines, if not nil, receives the line of each path.
 		lines map[string]int
 	}
 
-	// place is where the decoder is, linked to the place around it. The text
-	// is made only where a problem needs it.
-	place struct {
-		parent *place
+	// jsonPath is a path in the JSON text, linked to the enclosing one. It is
+	// formatted only if needed, for a problem or for lines.
+	jsonPath struct {
+		parent *jsonPath
 		name   string
 		index  int
 	}
 )
 
-// decode reads all of data into target, a pointer, and reports whether the text
-// is JSON to its end. Problems name places below base.
+// decode decodes all of data into target, a pointer, and reports whether data is
+// exactly one valid JSON value. The paths of problems start with base.
 func decode(data []byte, target any, base string, lines map[string]int) (Problems, bool) {
 	d := &decoder{data: data, dec: json.NewDecoder(bytes.NewReader(data)), lines: lines}
 	d.dec.UseNumber()
-	var root *place
+	var root *jsonPath
 	if base != "" {
-		root = &place{name: base}
+		root = &jsonPath{name: base}
 	}
 	if err := d.value(reflect.ValueOf(target).Elem(), root); err != nil {
-		d.note(root, err.Error())
+		d.addProblem(root, err.Error())
 		return d.problems, false
 	}
 	if _, err := d.dec.Token(); !errors.Is(err, io.EOF) {
-		d.note(root, "something follows the end")
+		d.addProblem(root, "something follows the end")
 		return d.problems, false
 	}
 	return d.problems, true
 }
 
-func (p *place) field(name string) *place { return &place{parent: p, name: name} }
+func (p *jsonPath) field(name string) *jsonPath { return &jsonPath{parent: p, name: name} }
 
-func (p *place) item(i int) *place { return &place{parent: p, index: i} }
+func (p *jsonPath) item(i int) *jsonPath { return &jsonPath{parent: p, index: i} }
 
-// String returns the place as in services[2].models[0].
-func (p *place) String() string {
+// String returns the path, such as services[2].models[0].
+func (p *jsonPath) String() string {
 	switch {
 	case p == nil:
 		return ""
@@ -76,18 +76,19 @@
 	}
 }
 
+// line returns the current line, counted from 1.
 func (d *decoder) line() int {
 	read := min(int(d.dec.InputOffset()), len(d.data))
 	return 1 + bytes.Count(d.data[:read], []byte{'\n'})
 }
 
-func (d *decoder) note(p *place, text string) {
+func (d *decoder) addProblem(p *jsonPath, text string) {
 	d.problems = append(d.problems, Problem{Path: p.String(), Line: d.line(), Text: text})
 }
 
-// value reads the next value. It returns an error only where the text is no
-// JSON, after which nothing more can be read.
-func (d *decoder) value(v reflect.Value, p *place) error {
+// value decodes the next value. It returns an error only if the text is not valid
+// JSON, after which decoding cannot continue.
+func (d *decoder) value(v reflect.Value, p *jsonPath) error {
 	t, err := d.token()
 	if err != nil {
 		return err
@@ -116,17 +117,17 @@
 	}
 }
 
-func (d *decoder) scalar(t json.Token, p *place, want string, set func() bool) error {
+func (d *decoder) scalar(t json.Token, p *jsonPath, want string, set func() bool) error {
 	if set() {
 		return nil
 	}
-	d.note(p, "must be "+want)
+	d.addProblem(p, "must be "+want)
 	return d.skip(t)
 }
 
-func (d *decoder) object(v reflect.Value, t json.Token, p *place) error {
+func (d *decoder) object(v reflect.Value, t json.Token, p *jsonPath) error {
 	if t != json.Delim('{') {
-		d.note(p, "must be an object")
+		d.addProblem(p, "must be an object")
 		return d.skip(t)
 	}
 	start := d.line()
@@ -150,18 +151,18 @@
 	return err
 }
 
-func (d *decoder) field(v reflect.Value, fields []field, seen []bool, p *place, name string) error {
+func (d *decoder) field(v reflect.Value, fields []field, seen []bool, p *jsonPath, name string) error {
 	for i, f := range fields {
 		if f.name != name {
 			continue
 		}
 		if seen[i] {
-			d.note(p.field(name), "is given twice")
+			d.addProblem(p.field(name), "is given twice")
 		}
 		seen[i] = true
 		return d.value(v.Field(f.index), p.field(name))
 	}
-	d.note(p.field(name), "is no field that is known here")
+	d.addProblem(p.field(name), "is no field that is known here")
 	t, err := d.token()
 	if err != nil {
 		return err
@@ -169,9 +170,9 @@
 	return d.skip(t)
 }
 
-func (d *decoder) list(v reflect.Value, t json.Token, p *place) error {
+func (d *decoder) list(v reflect.Value, t json.Token, p *jsonPath) error {
 	if t != json.Delim('[') {
-		d.note(p, "must be a list")
+		d.addProblem(p, "must be a list")
 		return d.skip(t)
 	}
 	list := reflect.MakeSlice(v.Type(), 0, 0)
@@ -187,7 +188,7 @@
 	return err
 }
 
-// skip reads to the end of the value that t starts.
+// skip consumes the rest of the value that starts with t.
 func (d *decoder) skip(t json.Token) error {
 	depth := 0
 	for {
@@ -207,7 +208,7 @@
 	}
 }
 
-// token returns the next token; the end of the text is an error.
+// token returns the next token, or io.ErrUnexpectedEOF at the end of the text.
 func (d *decoder) token() (json.Token, error) {
 	t, err := d.dec.Token()
 	if errors.Is(err, io.EOF) {
--- a/pkg/manifest/diff.go
+++ b/pkg/manifest/diff.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// ChangeKind is what happened to an entry.
+	// ChangeKind says whether an entry was added, removed or changed.
 	ChangeKind int
 
 	// Change is one difference between two manifests.
@@ -24,8 +24,7 @@
 		// What is the kind of entry, such as "account".
 		What string
 		Name string
-		// Field is what changed in the entry, in words; empty unless Kind is
-		// Changed.
+		// Field describes the changed field; empty unless Kind is Changed.
 		Field string
 		// From and To are the values before and after; From is empty for an
 		// added entry, To for a removed one.
@@ -33,18 +32,19 @@
 		To   string
 	}
 
-	// fact is one field of an entry, in words.
-	fact struct {
+	// property is the description and value of one field of an entry.
+	property struct {
 		field string
 		value string
 	}
 
-	// entries maps the names of one list to what each says.
-	entries map[string][]fact
+	// entries maps the names of the entries of one list to their fields.
+	entries map[string][]property
 )
 
-// Diff returns what a new manifest would change, in the order in which
-// operators read it: revision, deployments, zones, models, services, accounts.
+// Diff returns the differences between two manifests in the order in which
+// operators review them: revision, deployments, zones, models, services, accounts.
+// Within each list, entries are sorted by name.
 func Diff(before, after *Manifest) []Change {
 	var changes []Change
 	if before.Revision != after.Revision {
@@ -53,14 +53,14 @@
 			From: fmt.Sprint(before.Revision), To: fmt.Sprint(after.Revision),
 		})
 	}
-	changes = append(changes, compare("deployment", before.Deployments, after.Deployments, deploymentFacts)...)
-	changes = append(changes, compare("availability zone", before.Zones, after.Zones, zoneFacts)...)
-	changes = append(changes, compare("model", before.Models, after.Models, modelFacts)...)
-	changes = append(changes, compare("service", before.Services, after.Services, serviceFacts)...)
-	return append(changes, compare("account", before.Accounts, after.Accounts, accountFacts)...)
+	changes = append(changes, compare("deployment", before.Deployments, after.Deployments, deploymentProperties)...)
+	changes = append(changes, compare("availability zone", before.Zones, after.Zones, zoneProperties)...)
+	changes = append(changes, compare("model", before.Models, after.Models, modelProperties)...)
+	changes = append(changes, compare("service", before.Services, after.Services, serviceProperties)...)
+	return append(changes, compare("account", before.Accounts, after.Accounts, accountProperties)...)
 }
 
-// String returns the change in plain words.
+// String returns the change as a sentence.
 func (c Change) String() string {
 	entry := c.What
 	if c.Name != "" {
@@ -76,8 +76,8 @@
 	}
 }
 
-func compare[T any](what string, before, after []T, facts func(T) (string, []fact)) []Change {
-	a, b := entriesOf(before, facts), entriesOf(after, facts)
+func compare[T any](what string, before, after []T, properties func(T) (string, []property)) []Change {
+	a, b := entriesOf(before, properties), entriesOf(after, properties)
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	var changes []Change
@@ -87,12 +87,12 @@
 	return changes
 }
 
-func compareEntry(what, name string, before, after []fact) []Change {
+func compareEntry(what, name string, before, after []property) []Change {
 	switch {
 	case before == nil:
-		return []Change{{Kind: Added, What: what, Name: name, To: words(after)}}
+		return []Change{{Kind: Added, What: what, Name: name, To: describe(after)}}
 	case after == nil:
-		return []Change{{Kind: Removed, What: what, Name: name, From: words(before)}}
+		return []Change{{Kind: Removed, What: what, Name: name, From: describe(before)}}
 	}
 	var changes []Change
 	for i, f := range before {
@@ -105,70 +105,70 @@
 	return changes
 }
 
-func entriesOf[T any](list []T, facts func(T) (string, []fact)) entries {
+func entriesOf[T any](list []T, properties func(T) (string, []property)) entries {
 	e := make(entries, len(list))
 	for _, entry := range list {
-		name, f := facts(entry)
+		name, f := properties(entry)
 		e[name] = f
 	}
 	return e
 }
 
-func words(facts []fact) string {
-	list := make([]string, len(facts))
-	for i, f := range facts {
+func describe(properties []property) string {
+	list := make([]string, len(properties))
+	for i, f := range properties {
 		list[i] = f.field + " " + f.value
 	}
 	return strings.Join(list, ", ")
 }
 
-func deploymentFacts(d Deployment) (string, []fact) {
-	return d.Name, []fact{{"multiple of the mean load", fmt.Sprint(d.Bound)}}
+func deploymentProperties(d Deployment) (string, []property) {
+	return d.Name, []property{{"multiple of the mean load", fmt.Sprint(d.Bound)}}
 }
 
-func zoneFacts(z Zone) (string, []fact) {
-	return z.Name, []fact{{"region", z.Region}}
+func zoneProperties(z Zone) (string, []property) {
+	return z.Name, []property{{"region", z.Region}}
 }
 
-func modelFacts(m Model) (string, []fact) {
-	return m.Name, []fact{{"versions", listed(m.Versions)}, {"adapters", listed(m.Adapters)}}
+func modelProperties(m Model) (string, []property) {
+	return m.Name, []property{{"versions", joinList(m.Versions)}, {"adapters", joinList(m.Adapters)}}
 }
 
-func serviceFacts(s Service) (string, []fact) {
-	return s.Name, []fact{
+func serviceProperties(s Service) (string, []property) {
+	return s.Name, []property{
 		{"deployment", s.Deployment},
 		{"kind", string(s.Kind)},
-		{"models", listed(s.Models)},
-		{"repeatable calls", yes(!s.Once)},
-		{"check of fencing numbers", yes(s.Fenced)},
+		{"models", joinList(s.Models)},
+		{"repeatable calls", yesNo(!s.Once)},
+		{"check of fencing numbers", yesNo(s.Fenced)},
 	}
 }
 
-func accountFacts(a Account) (string, []fact) {
-	return a.Name, []fact{
-		{"key digest", shortened(a.Key)},
+func accountProperties(a Account) (string, []property) {
+	return a.Name, []property{
+		{"key digest", shortDigest(a.Key)},
 		{"rate", fmt.Sprintf("%g tokens/s", a.Rate)},
 		{"burst", fmt.Sprintf("%g tokens", a.Burst)},
 		{"priority", fmt.Sprint(a.Priority)},
 	}
 }
 
-func listed(list []string) string {
+func joinList(list []string) string {
 	if len(list) == 0 {
 		return "none"
 	}
 	return strings.Join(list, " ")
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// shortened returns enough of a digest to tell two apart by eye.
-func shortened(digest string) string {
+// shortDigest returns the start of a digest, enough to tell two apart by eye.
+func shortDigest(digest string) string {
 	const shown = 12
 	if len(digest) <= shown {
 		return digest
--- a/pkg/manifest/index.go
+++ b/pkg/manifest/index.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// index finds entries without a scan. Every request looks up its account and
-// its service, so at 1,600 accounts a scan would cost each request more than
-// its routing.
+// index maps keys and names to entries. Every request looks up its account and
+// its service; at 1,600 accounts a linear scan would take longer than routing the
+// request.
 type index struct {
 	accounts    map[string]int
 	services    map[string]int
@@ -13,7 +13,7 @@
 	regions     map[string]string
 }
 
-// newIndex returns the index of a manifest without contradictions.
+// newIndex returns the index of a manifest that has passed Check.
 func newIndex(m *Manifest) *index {
 	x := &index{
 		accounts:    make(map[string]int, len(m.Accounts)),
@@ -40,8 +40,8 @@
 	return x
 }
 
-// Clone returns a copy that may be changed. It has no index, so its look-ups
-// scan.
+// Clone returns a deep copy that may be changed. It has no index, so its lookups
+// are linear scans.
 func (m *Manifest) Clone() *Manifest {
 	c := &Manifest{
 		Revision:    m.Revision,
@@ -61,9 +61,9 @@
 	return c
 }
 
-// Account returns the client account with the given key digest, which KeyDigest
-// makes of a secret key. How long the look-up takes may tell of the digest, but
-// not of the secret.
+// Account returns the client account with the given key digest, as returned by
+// KeyDigest for a secret key. The duration of the lookup may leak information
+// about the digest, but not about the secret key.
 func (m *Manifest) Account(digest string) (Account, bool) {
 	if m.index != nil {
 		i, ok := m.index.accounts[digest]
@@ -81,7 +81,7 @@
 	return find(m.Services, func(s Service) bool { return s.Name == name })
 }
 
-// ServiceOf returns the service whose engines serve a model.
+// ServiceOf returns the service whose engines serve the given model.
 func (m *Manifest) ServiceOf(model string) (Service, bool) {
 	if m.index != nil {
 		i, ok := m.index.models[model]
@@ -99,7 +99,7 @@
 	return find(m.Deployments, func(d Deployment) bool { return d.Name == name })
 }
 
-// Region returns the region of an availability zone, or "" where it is unknown.
+// Region returns the region of an availability zone, or "" if it is unknown.
 func (m *Manifest) Region(zone string) string {
 	if m.index != nil {
 		return m.index.regions[zone]
--- a/pkg/manifest/manifest.go
+++ b/pkg/manifest/manifest.go
@@ -1,5 +1,5 @@
-// Package manifest holds the format in which operators describe their
-// deployments, and the signed record by which they accept a change.
+// Package manifest defines the format in which operators describe their
+// deployments, and the signed records with which they accept or reject a revision.
 package manifest
 
 import (
@@ -10,27 +10,29 @@
 
 // Kinds of services.
 const (
-	// KindChat is a service of model engines that stream chat completions.
+	// KindChat is the kind of services whose endpoints are model engines that
+	// stream chat completions.
 	KindChat Kind = "chat"
-	// KindPlain is a service of plain request and response.
+	// KindPlain is the kind of services with plain requests and responses.
 	KindPlain Kind = "plain"
 )
 
-// ErrFormat is returned where a manifest cannot be read.
+// ErrFormat is returned if a manifest, root, section or record is malformed.
 var ErrFormat = errors.New("manifest: bad format")
 
 type (
-	// Kind is how a service is spoken to.
+	// Kind is the protocol of a service.
 	Kind string
 
 	// Digest is the SHA-256 of a section or root, in lower-case hexadecimal.
 	Digest string
 
-	// Manifest is the whole configuration of one revision. One that Parse or
-	// Join returned is indexed and must not be changed; Clone gives a copy to
-	// change.
+	// Manifest is the complete configuration of one revision. The results of
+	// Parse and Join are indexed and must not be changed; change a Clone
+	// instead.
 	Manifest struct {
-		// Revision numbers the accepted changes; a higher one replaces a lower.
+		// Revision is the number of the revision; a higher one replaces a
+		// lower one.
 		Revision    uint64       `json:"revision"`
 		Deployments []Deployment `json:"deployments"`
 		Zones       []Zone       `json:"zones"`
@@ -42,7 +44,7 @@
 		print uint64
 	}
 
-	// Deployment is a set of services that share a bound on skew.
+	// Deployment is a set of services with a common bound on load skew.
 	Deployment struct {
 		Name string `json:"name"`
 		// Bound is the multiple of the mean load that no engine may exceed.
@@ -68,9 +70,10 @@
 		Deployment string   `json:"deployment"`
 		Kind       Kind     `json:"kind"`
 		Models     []string `json:"models"`
-		// Once marks that no call of the service may be repeated.
+		// Once is set if no call of the service may be repeated.
 		Once bool `json:"once"`
-		// Fenced says that the endpoints refuse orders with an old fencing number.
+		// Fenced is set if the endpoints refuse orders with an old fencing
+		// number.
 		Fenced bool `json:"fenced"`
 	}
 
@@ -80,11 +83,13 @@
 		// Key is the SHA-256 of the account's secret key, in lower-case
 		// hexadecimal.
 		Key string `json:"key"`
-		// Rate is the tokens a second that the account may ask for, fleet-wide.
+		// Rate is the limit of the account over the whole fleet, in tokens per
+		// second.
 		Rate float64 `json:"rate"`
-		// Burst is the tokens that the account may ask for at once.
+		// Burst is the number of tokens that the account may request at once.
 		Burst float64 `json:"burst"`
-		// Priority orders the account's requests; higher goes first.
+		// Priority is the priority of the account's requests; higher ones are
+		// served first.
 		Priority int `json:"priority"`
 	}
 )
@@ -95,8 +100,7 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// KeyDigest returns the digest under which an account's secret key stands in a
-// manifest.
+// KeyDigest returns the digest of an account's secret key, as in Account.Key.
 func KeyDigest(secret string) string {
 	return string(Sum([]byte(secret)))
 }
--- a/pkg/manifest/manifest_test.go
+++ b/pkg/manifest/manifest_test.go
@@ -36,7 +36,7 @@
 	return m
 }
 
-func TestParseNamesEveryProblem(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	text, err := manifest.Encode(sample(2))
 	require.NoError(t, err)
 	for _, c := range []struct {
@@ -46,14 +46,14 @@
 		want []string
 	}{
 		{"unknown", `"bound": 1.5`, `"bound": 1.5, "weight": {"a": [1]}`, []string{"line 6: deployments[0].weight: is no field that is known here"}},
-		{"doubled", `"bound": 1.5`, `"bound": 1.5, "bound": 2`, []string{"line 6: deployments[0].bound: is given twice"}},
+		{"duplicate", `"bound": 1.5`, `"bound": 1.5, "bound": 2`, []string{"line 6: deployments[0].bound: is given twice"}},
 		{"missing", `"name": "thies-a",`, ``, []string{"line 10: zones[0].name: is missing"}},
 		{"mistyped", `"bound": 1.5`, `"bound": "high"`, []string{"line 6: deployments[0].bound: must be a number"}},
-		{"no list", `"zones": [`, `"zones": null, "areas": [`, []string{"line 9: zones: must be a list", "line 9: areas: is no field that is known here"}},
+		{"null list", `"zones": [`, `"zones": null, "areas": [`, []string{"line 9: zones: must be a list", "line 9: areas: is no field that is known here"}},
 		{"negative", `"revision": 7`, `"revision": -7`, []string{"line 2: revision: must be a whole number from 0"}},
 		{"zero", `"revision": 7`, `"revision": 0`, []string{"line 2: revision: must be 1 or more"}},
 		{"bound", `"bound": 1.5`, `"bound": 0.5`, []string{"line 6: deployments[0].bound: 0.5 is below 1: no endpoint could carry the mean load"}},
-		{"doubled name", `"name": "thies-b"`, `"name": "thies-a"`, []string{`line 15: zones[1].name: "thies-a" is already the name of zones[0]`}},
+		{"duplicate name", `"name": "thies-b"`, `"name": "thies-a"`, []string{`line 15: zones[1].name: "thies-a" is already the name of zones[0]`}},
 		{"slash", `"name": "account-0000"`, `"name": "a/b"`, []string{`accounts[0].name: "a/b" is no name`}},
 		{"unknown model and deployment", `"deployment": "thies",
       "kind": "chat",
@@ -71,7 +71,7 @@
   ],`, `"bond": 1.5
     }
   ], "name": "x",`, []string{"deployments[0].bound: is missing", "deployments[0].bond: is no field", "name: is no field"}},
-		{"cut", `"priority": 1`, "\x00", []string{"invalid character"}},
+		{"invalid JSON", `"priority": 1`, "\x00", []string{"invalid character"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Contains(t, string(text), c.old)
@@ -98,16 +98,16 @@
 	require.Len(t, problems, 3, err.Error())
 }
 
-func TestParseRefusesTextThatIsNoManifest(t *testing.T) {
+func TestParseRejectsNonManifest(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", "{} {}", "null", strings.Repeat("[", 1000)} {
 		_, err := manifest.Parse([]byte(text))
 		require.ErrorIs(t, err, manifest.ErrFormat, text)
 	}
 }
 
-// TestParseOfAnything changes a manifest's text at random places; whatever
-// comes out is refused or says the same when it is encoded and read again.
-func TestParseOfAnything(t *testing.T) {
+// TestParseMutatedText changes the text of a manifest at random positions. The
+// result must be refused, or be equal after it is encoded and parsed again.
+func TestParseMutatedText(t *testing.T) {
 	text, err := manifest.Encode(sample(2))
 	require.NoError(t, err)
 	pieces := []string{"", "{", "}", "[", "]", ",", "null", `"name":`, `"a"`, "-1", "1e999", "0.5", "true", "\"", "\x00", "é"}
@@ -131,7 +131,7 @@
 	})
 }
 
-func TestSplitAndJoinKeepTheManifest(t *testing.T) {
+func TestSplitJoinRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := sample(rapid.IntRange(0, 200).Draw(t, "accounts"))
 		shuffled := m.Clone()
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestJoinRefusesHalfAndChangedSections(t *testing.T) {
+func TestJoinRejectsTruncatedAndMissingSections(t *testing.T) {
 	parts, err := manifest.Split(sample(10))
 	require.NoError(t, err)
 	root, err := manifest.ParseRoot(parts.Values[parts.Digest])
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestSplitRefusesContradictionsAndLargeSections(t *testing.T) {
+func TestSplitRejectsInvalidManifestAndLargeSections(t *testing.T) {
 	m := sample(0)
 	m.Models[0].Name = "letters"
 	_, err := manifest.Split(m)
@@ -180,7 +180,7 @@
 	require.ErrorIs(t, err, manifest.ErrSize)
 }
 
-func TestOneAccountCostsItsShard(t *testing.T) {
+func TestAccountChangeAffectsRootAndOneShard(t *testing.T) {
 	m := sample(1600)
 	before, err := manifest.Split(m)
 	require.NoError(t, err)
@@ -201,7 +201,7 @@
 	require.Less(t, size*10, whole)
 }
 
-func TestDiffInPlainWords(t *testing.T) {
+func TestDiffMessages(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(m *manifest.Manifest)
@@ -212,8 +212,8 @@
 		{"rate", func(m *manifest.Manifest) { m.Accounts[0].Rate = 2e6 }, []string{"account account-0000: rate changes from 1000 tokens/s to 2e+06 tokens/s"}},
 		{"bound", func(m *manifest.Manifest) { m.Deployments[0].Bound = 2 }, []string{"deployment thies: multiple of the mean load changes from 1.5 to 2"}},
 		{"once", func(m *manifest.Manifest) { m.Services[0].Once = true }, []string{"service engines: repeatable calls changes from yes to no"}},
-		{"zone gone", func(m *manifest.Manifest) { m.Zones = m.Zones[1:] }, []string{"availability zone thies-a goes away; it had region thies"}},
-		{"model new", func(m *manifest.Manifest) {
+		{"removed zone", func(m *manifest.Manifest) { m.Zones = m.Zones[1:] }, []string{"availability zone thies-a goes away; it had region thies"}},
+		{"added model", func(m *manifest.Manifest) {
 			m.Models = append(m.Models, manifest.Model{Name: "short", Versions: []string{"1", "2"}})
 		}, []string{"model short is new: versions 1 2, adapters none"}},
 	} {
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestDiffShowsEveryField fails where a field is added to a type and operators
-// would accept its change unseen.
-func TestDiffShowsEveryField(t *testing.T) {
+// TestDiffComparesAllFields guards against a new field that Diff does not compare,
+// so that operators would accept its changes without seeing them.
+func TestDiffComparesAllFields(t *testing.T) {
 	for _, list := range []string{"Deployments", "Zones", "Models", "Services", "Accounts"} {
 		entry := reflect.ValueOf(sample(1)).Elem().FieldByName(list).Index(0).Type()
 		for i := range entry.NumField() {
@@ -295,7 +295,7 @@
 		{"other operator", manifest.Accept(other, 7, digest), manifest.ErrSignature},
 		{"revision", change(accepted, func(r *manifest.Record) { r.Revision++ }), manifest.ErrSignature},
 		{"digest", change(accepted, func(r *manifest.Record) { r.Digest = manifest.Sum(nil) }), manifest.ErrSignature},
-		{"turned", change(manifest.Reject(key, 7, digest), func(r *manifest.Record) { r.Verdict = manifest.VerdictAccept }), manifest.ErrSignature},
+		{"changed verdict", change(manifest.Reject(key, 7, digest), func(r *manifest.Record) { r.Verdict = manifest.VerdictAccept }), manifest.ErrSignature},
 		{"unsigned", change(accepted, func(r *manifest.Record) { r.Signature = nil }), manifest.ErrSignature},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/manifest/page_test.go
+++ b/pkg/manifest/page_test.go
@@ -11,7 +11,8 @@
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
-// TestReferencePage fails where the operators' reference and the types differ.
+// TestReferencePage guards against an operators' reference whose fields differ
+// from those of the types.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/manifest.md")
 	require.NoError(t, err)
@@ -33,7 +34,7 @@
 	return names
 }
 
-// documented returns the fields in the first column of a section's table.
+// documented returns the fields in the first column of the table of a section.
 func documented(page, section string) []string {
 	_, text, _ := strings.Cut(page, "\n## "+section+"\n")
 	text, _, _ = strings.Cut(text, "\n## ")
--- a/pkg/manifest/parse.go
+++ b/pkg/manifest/parse.go
@@ -5,13 +5,14 @@
 	"fmt"
 )
 
-// Parse reads a manifest strictly and indexes it. Unknown, doubled, missing and
-// mistyped fields and contradictions are all returned at once, as Problems.
+// Parse decodes a manifest strictly and indexes it. It returns all unknown,
+// duplicate, missing and mistyped fields and all contradictions together, as
+// Problems.
 func Parse(data []byte) (*Manifest, error) {
 	m := &Manifest{}
-	problems, whole := decode(data, m, "", nil)
-	if whole {
-		problems = append(problems, located(data, m.contradictions().without(problems))...)
+	problems, valid := decode(data, m, "", nil)
+	if valid {
+		problems = append(problems, withLines(data, m.validate().without(problems))...)
 	}
 	if len(problems) > 0 {
 		return nil, problems.err()
@@ -20,8 +21,8 @@
 	return m, nil
 }
 
-// Encode returns the manifest as text that Parse reads. Manifests that say the
-// same give the same bytes, in whatever order their entries stand.
+// Encode returns the manifest as JSON for Parse. Manifests that differ only in the
+// order of their entries have the same encoding.
 func Encode(m *Manifest) ([]byte, error) {
 	data, err := json.MarshalIndent(m.sorted(), "", "  ")
 	if err != nil {
@@ -30,9 +31,9 @@
 	return append(data, '\n'), nil
 }
 
-// located adds lines to problems that were found in data. The lines of all
-// places are many, so they are gathered only once a problem is known.
-func located(data []byte, problems Problems) Problems {
+// withLines sets the lines of problems that were found in data. Recording the
+// lines of all paths is costly, so it is done only if there is a problem.
+func withLines(data []byte, problems Problems) Problems {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/pkg/manifest/problem.go
+++ b/pkg/manifest/problem.go
@@ -8,22 +8,24 @@
 )
 
 type (
-	// Problem is one fault of a manifest.
+	// Problem is one error in a manifest, root or record.
 	Problem struct {
-		// Path is the place, such as services[2].models[0]; "" is the whole.
+		// Path is the path, such as services[2].models[0]; "" is the whole
+		// manifest.
 		Path string
-		// Line is the line of the place, counted from 1; 0 where the manifest
-		// was not read from text.
+		// Line is the line of Path, counted from 1; 0 if the manifest was not
+		// read from text.
 		Line int
-		// Text says what is wrong.
+		// Text describes the problem.
 		Text string
 	}
 
-	// Problems is every fault of a manifest. As an error it is an ErrFormat.
+	// Problems holds all problems of a manifest. It is an error that wraps
+	// ErrFormat.
 	Problems []Problem
 )
 
-// String returns the problem in one line.
+// String returns the problem on one line.
 func (p Problem) String() string {
 	path := p.Path
 	if path == "" {
@@ -35,7 +37,7 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, path, p.Text)
 }
 
-// Error returns the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -47,8 +49,7 @@
 // Unwrap returns ErrFormat.
 func (p Problems) Unwrap() error { return ErrFormat }
 
-// err returns the problems in the order of their lines, nil where there are
-// none.
+// err returns the problems sorted by line, or nil if there are none.
 func (p Problems) err() error {
 	if len(p) == 0 {
 		return nil
@@ -59,8 +60,8 @@
 	return p
 }
 
-// without returns the problems that others do not explain: one at a place that
-// is missing or mistyped says nothing new.
+// without returns the problems whose paths do not overlap with those of others. A
+// contradiction at a path that is missing or mistyped is only a consequence.
 func (p Problems) without(others Problems) Problems {
 	return slices.DeleteFunc(p, func(own Problem) bool {
 		return slices.ContainsFunc(others, func(other Problem) bool {
--- a/pkg/manifest/record.go
+++ b/pkg/manifest/record.go
@@ -6,51 +6,53 @@
 	"fmt"
 )
 
-// Verdicts of operators on a change.
+// Verdicts of operators on a revision.
 const (
-	// VerdictAccept puts a revision in force.
+	// VerdictAccept puts a revision into force.
 	VerdictAccept Verdict = "accept"
-	// VerdictReject says that a revision must not come into force.
+	// VerdictReject keeps a revision from coming into force.
 	VerdictReject Verdict = "reject"
 )
 
 const signFormat = "bulrushhinge %s v1\n%d\n%s\n"
 
 var (
-	// ErrSignature is returned where no known operator key verifies a record.
+	// ErrSignature is returned if no known operator key verifies a record.
 	ErrSignature = errors.New("manifest: signature not by a known operator")
-	// ErrRejected is returned where a record rejects its revision.
+	// ErrRejected is returned if a record does not accept its revision.
 	ErrRejected = errors.New("manifest: revision rejected by operators")
 )
 
 type (
-	// Verdict is what operators decided on a change.
+	// Verdict is the decision of the operators on a revision.
 	Verdict string
 
-	// Record is an operator's signed verdict on one revision. The pipeline
-	// publishes it; a node puts in force only what a valid record accepts.
+	// Record is the signed verdict of an operator on one revision. The pipeline
+	// publishes it; a node applies a revision only if a valid record accepts it.
 	Record struct {
 		Verdict  Verdict `json:"verdict"`
 		Revision uint64  `json:"revision"`
-		// Digest is that of the revision's root.
+		// Digest is the digest of the revision's root.
 		Digest Digest `json:"digest"`
-		// Signature is by Ed25519 over verdict, revision and digest.
+		// Signature is the Ed25519 signature of verdict, revision and digest.
 		Signature []byte `json:"signature"`
 	}
 )
 
-// Accept signs the acceptance of the revision whose root has the given digest.
+// Accept returns a signed record that accepts the revision whose root has the
+// given digest.
 func Accept(key ed25519.PrivateKey, revision uint64, digest Digest) Record {
 	return sign(key, Record{Verdict: VerdictAccept, Revision: revision, Digest: digest})
 }
 
-// Reject signs the rejection of the revision whose root has the given digest.
+// Reject returns a signed record that rejects the revision whose root has the
+// given digest.
 func Reject(key ed25519.PrivateKey, revision uint64, digest Digest) Record {
 	return sign(key, Record{Verdict: VerdictReject, Revision: revision, Digest: digest})
 }
 
-// ParseRecord reads a record strictly. It returns Problems where it is
-// malformed; Verify checks the signature.
+// ParseRecord decodes a record strictly. It returns Problems if the record is
+// malformed. It does not check the signature; Verify does.
 func ParseRecord(data []byte) (Record, error) {
 	var r Record
 	problems, _ := decode(data, &r, "record", nil)
@@ -60,8 +62,8 @@
 	return r, nil
 }
 
-// Verify returns nil only where one of the operators' keys signed the record
-// and it accepts its revision, else ErrSignature or ErrRejected.
+// Verify returns nil if the record accepts its revision and one of the operators'
+// keys verifies its signature, otherwise ErrSignature or ErrRejected.
 func (r Record) Verify(operators []ed25519.PublicKey) error {
 	if !r.signed(operators) {
 		return ErrSignature
--- a/pkg/manifest/section.go
+++ b/pkg/manifest/section.go
@@ -11,13 +11,12 @@
 )
 
 const (
-	// MaxValue is the size of the largest value that a platform holds, in
-	// bytes.
+	// MaxValue is the maximum size of a value on the platform, in bytes.
 	MaxValue = 1 << 20
-	// Shards is how many sections the client accounts are spread over. A
-	// change of one account costs the root, which grows with the shards, and
-	// one shard, which shrinks with them; 64 is about the cheapest for 1,600
-	// accounts.
+	// Shards is the number of sections that the client accounts are
+	// distributed over. A change of one account transfers the root, whose size
+	// grows with the number of shards, and one shard, whose size shrinks with
+	// it; 64 is about the minimum of the sum at 1,600 accounts.
 	Shards = 64
 
 	digestBytes = 32
@@ -25,44 +24,44 @@
 )
 
 var (
-	// ErrSize is returned where a section or root is over MaxValue bytes.
+	// ErrSize is returned if a section or root is larger than MaxValue bytes.
 	ErrSize = errors.New("manifest: value too large")
-	// ErrSection is returned where a section is missing or does not match its
+	// ErrSection is returned if a section is missing or does not match its
 	// digest.
 	ErrSection = errors.New("manifest: bad section")
 )
 
 type (
-	// Root names the sections of one revision by their digests. Two revisions
-	// share the sections that are equal.
+	// Root lists the sections of one revision by their digests. Revisions share
+	// equal sections.
 	Root struct {
 		Revision    uint64 `json:"revision"`
 		Deployments Digest `json:"deployments"`
 		Zones       Digest `json:"zones"`
 		Models      Digest `json:"models"`
 		Services    Digest `json:"services"`
-		// Accounts is the shards of the client accounts.
+		// Accounts holds the digests of the shards of the client accounts.
 		Accounts []Digest `json:"accounts"`
 	}
 
-	// Parts is a manifest as a pipeline publishes it.
+	// Parts is a manifest split into the values that a pipeline publishes.
 	Parts struct {
-		// Digest is that of the root.
+		// Digest is the digest of the root.
 		Digest Digest
-		// Values is the root and the sections by their digests.
+		// Values holds the root and the sections by their digests.
 		Values map[Digest][]byte
 	}
 
-	// splitter encodes sections.
+	// splitter encodes sections and collects their errors.
 	splitter struct {
 		parts Parts
 		errs  []error
 	}
 )
 
-// Split encodes a manifest as sections under a root. Manifests that say the
-// same give the same bytes, in whatever order their entries stand. It returns
-// Problems for contradictions and ErrSize for sections that are too large.
+// Split encodes a manifest as a root and sections. Manifests that differ only in
+// the order of their entries have the same encoding. It returns Problems if the
+// manifest does not pass Check and ErrSize if a section is too large.
 func Split(m *Manifest) (Parts, error) {
 	if err := m.Check(); err != nil {
 		return Parts{}, err
@@ -83,7 +82,7 @@
 	return s.parts, errors.Join(s.errs...)
 }
 
-// ParseRoot reads a root strictly. It returns Problems where it is malformed.
+// ParseRoot decodes a root strictly. It returns Problems if it is malformed.
 func ParseRoot(data []byte) (Root, error) {
 	var r Root
 	problems, _ := decode(data, &r, "root", nil)
@@ -98,29 +97,31 @@
 	return r, problems.err()
 }
 
-// Sections returns the digests of the root's sections, each once.
+// Sections returns the digests of the root's sections, sorted and without
+// duplicates.
 func (r Root) Sections() []Digest {
 	all := append([]Digest{r.Deployments, r.Zones, r.Models, r.Services}, r.Accounts...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// Joiner joins sections to manifests. It keeps the accounts that it read last,
-// so that a change of one account costs reading one shard. It is not safe for
-// concurrent use.
+// Joiner joins sections into manifests. It caches the account shards of the last
+// manifest, so that a change of one account requires decoding only one shard. It
+// is not safe for concurrent use.
 type Joiner struct {
 	shards map[Digest][]Account
 }
 
-// Join returns the manifest of a root and its sections, indexed. The values
-// must hold every section; each is checked against its digest. It returns
-// ErrSection where one is missing or does not match, and Problems where the
-// manifest is malformed or contradicts itself.
+// Join returns the indexed manifest of a root and its sections. The values must
+// contain every section; each is checked against its digest. Join returns
+// ErrSection if one is missing or does not match, and Problems if the manifest is
+// malformed or contradicts itself.
 func Join(r Root, values map[Digest][]byte) (*Manifest, error) {
 	return (&Joiner{}).Join(r, values)
 }
 
-// Join is like the function Join.
+// Join is like the function Join, but needs no values for the shards that j has
+// cached.
 func (j *Joiner) Join(r Root, values map[Digest][]byte) (*Manifest, error) {
 	m := &Manifest{Revision: r.Revision}
 	var problems Problems
@@ -143,7 +144,7 @@
 		return nil, err
 	}
 	slices.SortFunc(m.Accounts, func(a, b Account) int { return strings.Compare(a.Name, b.Name) })
-	problems = append(problems, m.contradictions()...)
+	problems = append(problems, m.validate()...)
 	if len(problems) > 0 {
 		return nil, problems.err()
 	}
@@ -153,8 +154,8 @@
 	return m, nil
 }
 
-// Fingerprint returns a number that differs between manifests of one revision
-// that differ; 0 where the manifest was not joined from sections.
+// Fingerprint returns a hash that distinguishes different manifests of the same
+// revision, or 0 if the manifest was not joined from sections.
 func (m *Manifest) Fingerprint() uint64 { return m.print }
 
 func (r Root) fingerprint() uint64 {
@@ -204,8 +205,8 @@
 	return list
 }
 
-// sorted returns a copy whose entries are sorted by name and whose lists are
-// not nil. The order of versions, adapters and models within an entry stays.
+// sorted returns a copy with entries sorted by name and without nil lists. The
+// order of versions, adapters and models within an entry is kept.
 func (m *Manifest) sorted() *Manifest {
 	c := m.Clone()
 	c.Deployments = byName(c.Deployments, func(d Deployment) string { return d.Name })
