--- a/pkg/trace/read.go
+++ b/pkg/trace/read.go
@@ -17,8 +17,9 @@
 	errTrailing = errors.New("text after the value")
 )
 
-// Read reads a trace strictly. Unknown fields or kinds, missing fields and
-// times that go back give an ErrFormat that names the line.
+// Read decodes a trace strictly. It returns ErrFormat with the line number if a
+// field or kind is unknown, a required field is missing, a value is invalid or the
+// times are not in order.
 func Read(r io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -26,7 +27,7 @@
 	number := 0
 	for lines.Scan() {
 		number++
-		if err := t.line(number, lines.Bytes()); err != nil {
+		if err := t.addLine(number, lines.Bytes()); err != nil {
 			return nil, fmt.Errorf("%w: line %d: %v", ErrFormat, number, err)
 		}
 	}
@@ -39,7 +40,7 @@
 	return t, nil
 }
 
-// Write writes a trace.
+// Write writes a trace in the format that Read decodes. It does not check it.
 func Write(w io.Writer, t *Trace) error {
 	buffered := bufio.NewWriter(w)
 	enc := json.NewEncoder(buffered)
@@ -54,7 +55,7 @@
 	return buffered.Flush()
 }
 
-func (t *Trace) line(number int, data []byte) error {
+func (t *Trace) addLine(number int, data []byte) error {
 	if number == 1 {
 		if err := decode(data, &t.Header); err != nil {
 			return err
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace holds the format of recorded traces: JSON lines, a header line
-// first and then one event a line, in the order of their times. Times are Go
-// durations since the start of the trace.
+// Package trace defines the format of recorded traces: JSON lines, first a header
+// and then one event per line, ordered by time. Times are Go durations since the
+// start of the trace.
 package trace
 
 import (
@@ -12,37 +12,37 @@
 const (
 	// Ask is a request of a caller.
 	Ask Kind = "ask"
-	// Join is an endpoint or node that starts.
+	// Join is the start of an endpoint or node.
 	Join Kind = "join"
-	// Leave is an endpoint or node whose planned stop is announced.
+	// Leave is the announcement of the planned stop of an endpoint or node.
 	Leave Kind = "leave"
-	// Kill is an endpoint or node that dies at once.
+	// Kill is the abrupt end of an endpoint or node.
 	Kill Kind = "kill"
-	// Crash marks a chat: each endpoint that runs its next request dies.
+	// Crash makes each endpoint crash that runs the next request of a chat.
 	Crash Kind = "crash"
-	// Accept is a new accepted revision.
+	// Accept is the acceptance of a new revision.
 	Accept Kind = "accept"
 )
 
-// ErrFormat is returned where a trace cannot be read. The message names the
-// line, counted from 1.
+// ErrFormat is returned if a trace is malformed. The message contains the line,
+// counted from 1.
 var ErrFormat = errors.New("trace: bad format")
 
 type (
-	// Kind is what an event tells.
+	// Kind is the kind of an event.
 	Kind string
 
-	// Duration is a time.Duration that is written as text, such as "1.25s".
+	// Duration is a time.Duration that is encoded as text, such as "1.25s".
 	Duration time.Duration
 
 	// Header is the first line of a trace.
 	Header struct {
-		// Name is that of the deployment.
+		// Name is the name of the deployment.
 		Name string `json:"name"`
 		Seed uint64 `json:"seed"`
 		// Bound is the multiple of the mean load that no engine may exceed.
 		Bound float64 `json:"bound"`
-		// Delay is the one-way time between two nodes.
+		// Delay is the one-way network delay between two nodes.
 		Delay     Duration   `json:"delay"`
 		Zones     []string   `json:"zones"`
 		Nodes     []Node     `json:"nodes"`
@@ -57,17 +57,18 @@
 		Zone     string `json:"zone"`
 	}
 
-	// Model is what a set of alike endpoints serves.
+	// Model is what a set of identical endpoints serves: a model or a plain
+	// service.
 	Model struct {
 		Name string `json:"name"`
-		// Plain marks a service of plain requests, which caches nothing.
+		// Plain is set for a service of plain requests, which caches nothing.
 		Plain bool `json:"plain,omitempty"`
-		// Step is the time of one batch step of an endpoint.
+		// Step is the duration of one batch step of an endpoint.
 		Step Duration `json:"step"`
-		// Cache is how many prefix tokens an endpoint can hold.
+		// Cache is the size of the prefix cache of an endpoint, in tokens.
 		Cache int `json:"cache,omitempty"`
-		// Import is how many prefix tokens a second an endpoint takes over from
-		// another; 0 where it cannot.
+		// Import is the rate at which an endpoint imports prefixes from another,
+		// in tokens per second; 0 if it cannot.
 		Import int `json:"import,omitempty"`
 	}
 
@@ -81,7 +82,7 @@
 	// Account is a client account and its limits.
 	Account struct {
 		Account string `json:"account"`
-		// Rate is in tokens a second, fleet-wide.
+		// Rate is the limit over the whole fleet, in tokens per second.
 		Rate float64 `json:"rate"`
 		// Burst is in tokens.
 		Burst    float64 `json:"burst"`
@@ -93,30 +94,33 @@
 		At   Duration `json:"at"`
 		Kind Kind     `json:"kind"`
 
-		// Account, Chat and the sizes in tokens belong to an Ask. Prefix is the
-		// part of the prompt that earlier turns of the chat already held, Input
-		// the new part, Output the answer.
+		// Account to Deadline belong to an Ask; Chat also names the chat of a
+		// Crash and Model the model of an endpoint that joins. The sizes are in
+		// tokens: Prefix is the part of the prompt from earlier turns of the
+		// chat, Input the new part, Output the answer.
 		Account string `json:"account,omitempty"`
 		Chat    string `json:"chat,omitempty"`
 		Model   string `json:"model,omitempty"`
 		Prefix  int    `json:"prefix,omitempty"`
 		Input   int    `json:"input,omitempty"`
 		Output  int    `json:"output,omitempty"`
-		// Once marks a request that must not be repeated.
+		// Once is set for a request that must not be repeated.
 		Once     bool     `json:"once,omitempty"`
 		Priority int      `json:"priority,omitempty"`
 		Deadline Duration `json:"deadline,omitzero"`
 
-		// Endpoint names the endpoint that joins or leaves, Zone where.
+		// Endpoint is the name of the endpoint that joins or leaves, Zone the
+		// zone in which an endpoint or node joins.
 		Endpoint string `json:"endpoint,omitempty"`
 		Zone     string `json:"zone,omitempty"`
-		// Instance names the node that joins or leaves, or what is killed.
+		// Instance is the name of the node that joins or leaves, or of the node
+		// or endpoint that is killed.
 		Instance string `json:"instance,omitempty"`
 		// Revision belongs to an Accept.
 		Revision uint64 `json:"revision,omitempty"`
 	}
 
-	// Trace is a whole trace.
+	// Trace is a complete trace.
 	Trace struct {
 		Header Header
 		Events []Event
@@ -128,7 +132,7 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration as time.ParseDuration does.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -33,7 +33,7 @@
 	// trace: bad format: line 3: time goes back
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejects(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"empty":          {"", "line 1: header is missing"},
 		"unknown kind":   {header + `{"at":"1s","kind":"dance"}`, `line 2: unknown kind "dance"`},
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWriteThenReadIsTheSame(t *testing.T) {
+func TestWriteReadRoundTrip(t *testing.T) {
 	first, err := trace.Read(strings.NewReader(header + ask + `{"at":"2s","kind":"leave","endpoint":"w1"}`))
 	require.NoError(t, err)
 	var buf bytes.Buffer
