--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// calmAfter is the time without a fault after which nodes agree on homes.
-	calmAfter   = 15 * time.Second
+	// settleTime is the time without a fault after which nodes agree on owners.
+	settleTime  = 15 * time.Second
 	maxRequests = 6
 )
 
-// ticketState is what the world knows of a ticket.
+// ticketState tracks a ticket over the whole fleet.
 type ticketState struct {
 	ticket   ticket.Ticket
 	minter   *process
@@ -31,27 +31,27 @@
 
 func TestMain(m *testing.M) { fixed.Run(m, "rapid.steps", "150", "rapid.checks", "45") }
 
-// TestPromisesHold runs random schedules and checks after each step that
+// TestInvariantsHold runs random schedules and checks after each step that
 //
 //   - the configuration in force at a node never reverts;
-//   - a ticket is dispatched at most one time, and never once it was void;
-//   - a leaving endpoint gets no new work after the grace, and none from a node that
-//     it has told so;
-//   - a gate holds no endpoint above its bound, as far as it knows the mean, and
-//     where nothing failed for a while only one gate grants permits for an
-//     endpoint.
-func TestPromisesHold(t *testing.T) {
+//   - a ticket is dispatched at most once, and never after it was voided;
+//   - a leaving endpoint gets no new work after the grace period, and none from a
+//     node that has received its leave notice;
+//   - a gate keeps no endpoint above its bound, computed from the mean that it
+//     knows, and after settleTime without a fault only one gate grants permits for
+//     an endpoint.
+func TestInvariantsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
 		t.Repeat(map[string]func(*rapid.T){
 			"":        w.check,
 			"advance": w.drawAdvance,
-			"flow":    w.drawFlow,
+			"flow":    w.drawDeliverAll,
 			"deliver": w.drawMessage(func(m message) { w.deliver(m) }),
 			"repeat":  w.drawMessage(func(m message) { w.deliver(m); w.deliver(m) }),
-			"lose":    w.drawMessage(func(m message) { w.lose(m); w.calm = w.now }),
+			"lose":    w.drawMessage(func(m message) { w.lose(m); w.lastFault = w.now }),
 			"cut":     w.drawCut,
-			"heal":    func(*rapid.T) { clear(w.cut); w.calm = w.now },
+			"heal":    func(*rapid.T) { clear(w.cut); w.lastFault = w.now },
 			"pause":   w.drawPause,
 			"restart": w.drawRestart,
 			"accept":  func(*rapid.T) { w.publishManifest() },
@@ -66,9 +66,9 @@
 	})
 }
 
-// Guards against a gate over its bound where a node reads the platform's first list
-// once more, late.
-func TestGateKeepsToItsBoundAfterAnOldList(t *testing.T) {
+// Guards against a gate that exceeds its bound after its node has read the
+// platform's first manifest and instance list a second time, late.
+func TestGateKeepsBoundAfterRereadingList(t *testing.T) {
 	w := newWorld()
 	first, third := w.processes[0], w.processes[2]
 	w.advance(2 * time.Second)
@@ -81,22 +81,22 @@
 	w.step(first, kernel.Accepted{Manifest: w.manifests[0]})
 	w.step(first, w.lists[0])
 	w.advance(200 * time.Millisecond)
-	w.flow(73)
+	w.deliverAll(73)
 	w.advance(2100 * time.Millisecond)
 	w.request(t, first, w.engines[2])
 	w.advance(100 * time.Millisecond)
 	w.request(t, first, w.engines[2])
 	w.request(t, first, w.engines[2])
-	w.flow(2)
+	w.deliverAll(2)
 	w.request(t, third, w.engines[2])
 }
 
 var steps = []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 6 * time.Second}
 
-// drawAdvance lets time pass while no message arrives.
+// drawAdvance advances the clock without delivering messages.
 func (w *world) drawAdvance(t *rapid.T) {
 	w.advance(rapid.SampledFrom(steps).Draw(t, "time"))
-	w.calm = w.now
+	w.lastFault = w.now
 }
 
 func (w *world) check(t *rapid.T) {
@@ -106,7 +106,7 @@
 			continue
 		}
 		if m.Revision < p.revision {
-			t.Fatalf("%s went back from revision %d to %d", p.name, p.revision, m.Revision)
+			t.Fatalf("%s reverted from revision %d to %d", p.name, p.revision, m.Revision)
 		}
 		p.revision = m.Revision
 	}
@@ -117,45 +117,45 @@
 	}
 }
 
-// granted checks a permit that a gate granted.
-func (w *world) granted(t rapid.TB, home *process, e *engine) {
-	if e.leaving && !e.silent && w.now.Sub(e.left) > leaveGrace {
-		t.Fatalf("%s granted a permit for %s, which has been leaving for %v", home.name, e.name, w.now.Sub(e.left))
+// checkGrant checks a permit that a gate has just granted.
+func (w *world) checkGrant(t rapid.TB, owner *process, e *engine) {
+	if e.leaving && !e.noticeOnly && w.now.Sub(e.left) > leaveGrace {
+		t.Fatalf("%s granted a permit for %s, which has been leaving for %v", owner.name, e.name, w.now.Sub(e.left))
 	}
-	w.checkBound(t, home, e)
-	if w.now.Sub(w.calm) < calmAfter || w.faulty() {
+	w.checkBound(t, owner, e)
+	if w.now.Sub(w.lastFault) < settleTime || w.faulty() {
 		return
 	}
 	for _, g := range e.running {
-		if g.home != home && w.alive(g.home) {
-			t.Fatalf("%s and %s both granted permits for %s although nothing failed for %v", home.name, g.home.name, e.name, calmAfter)
+		if g.owner != owner && w.alive(g.owner) {
+			t.Fatalf("%s and %s both granted permits for %s although nothing failed for %v", owner.name, g.owner.name, e.name, settleTime)
 		}
 	}
 }
 
-// checkBound checks that a gate holds an endpoint under the bound, as far as its
-// node can know the mean: with all that it heard of others and has granted
-// itself. During a partition each side's gate may hold so much, and a home does
-// not count what nodes run that it takes for dead.
-func (w *world) checkBound(t rapid.TB, home *process, e *engine) {
-	pool := home.kernel.View().Pools[service]
-	mine, own := 0, 0
+// checkBound checks that a gate keeps an endpoint under the bound. The mean comes
+// from what the owner knows: the load reported by others plus its own grants. During
+// a partition the gate of each side may grant up to the bound, and an owner does
+// not count requests of nodes that it considers dead.
+func (w *world) checkBound(t rapid.TB, owner *process, e *engine) {
+	pool := owner.kernel.View().Pools[service]
+	granted, onEndpoint := 0, 0
 	for _, other := range w.engines {
 		for _, g := range other.running {
-			if g.home == home && !g.forgotten {
-				mine++
+			if g.owner == owner && !g.forgotten {
+				granted++
 				if other == e {
-					own++
+					onEndpoint++
 				}
 			}
 		}
 	}
 	rule := gate.NewBoundRule()
 	above := pool.Bound - 1
-	mean := float64(pool.Total.Requests+mine+1) / float64(max(pool.Live, 1))
+	mean := float64(pool.Total.Requests+granted+1) / float64(max(pool.Live, 1))
 	limit := max(pool.Bound/above, (1+rule.Margin*above)*mean)
-	if float64(own+1) > limit {
-		t.Fatalf("%s holds %d permits for %s, over the bound of %.1f", home.name, own+1, e.name, limit)
+	if float64(onEndpoint+1) > limit {
+		t.Fatalf("%s holds %d permits for %s, over the bound of %.1f", owner.name, onEndpoint+1, e.name, limit)
 	}
 }
 
@@ -168,11 +168,11 @@
 	return len(w.cut) > 0
 }
 
-// flow lets time pass with all messages delivered at once, so that schedules
-// also reach states in which nodes agree.
-func (w *world) drawFlow(t *rapid.T) { w.flow(rapid.IntRange(1, 100).Draw(t, "ticks")) }
+// drawDeliverAll advances the clock with every message delivered at once, so that
+// schedules also reach states in which nodes agree.
+func (w *world) drawDeliverAll(t *rapid.T) { w.deliverAll(rapid.IntRange(1, 100).Draw(t, "ticks")) }
 
-func (w *world) flow(ticks int) {
+func (w *world) deliverAll(ticks int) {
 	for range ticks {
 		w.advance(kernel.DefaultTick)
 		for len(w.messages) > 0 {
@@ -210,20 +210,20 @@
 	}
 }
 
-// drawPause stops a process or lets it go on. It goes on with what it last
-// knew: its next event may be any, not only the passing of time.
+// drawPause pauses or resumes a process. A resumed process keeps its old state,
+// and its next event may be any, not only a tick.
 func (w *world) drawPause(t *rapid.T) {
 	p := w.drawProcess(t)
 	p.paused = !p.paused
-	w.calm = w.now
+	w.lastFault = w.now
 }
 
 func (w *world) drawRestart(t *rapid.T) {
 	w.start(w.index(w.drawProcess(t)))
-	w.calm = w.now
+	w.lastFault = w.now
 }
 
-// drawRead lets a node read the platform, which may answer with old values.
+// drawRead makes a node read the platform, which may answer with old values.
 func (w *world) drawRead(t *rapid.T) {
 	p := w.drawProcess(t)
 	if p.paused {
@@ -238,11 +238,11 @@
 	if e.leaving {
 		return
 	}
-	e.leaving, e.left, e.silent = true, w.now, rapid.Bool().Draw(t, "silent")
+	e.leaving, e.left, e.noticeOnly = true, w.now, rapid.Bool().Draw(t, "silent")
 	w.publishList()
 }
 
-// drawRequest lets a node ask for one endpoint, several times at once.
+// drawRequest makes a node request several permits for one endpoint at once.
 func (w *world) drawRequest(t *rapid.T) {
 	p, e := w.drawProcess(t), w.drawEngine(t)
 	for range rapid.IntRange(1, maxRequests).Draw(t, "requests") {
@@ -274,8 +274,8 @@
 	w.tickets = append(w.tickets, &ticketState{ticket: minted, minter: p})
 }
 
-// drawRedeem lets a copy of a request with a ticket arrive at any node, however
-// late: that node redeems its own tickets and passes others on.
+// drawRedeem delivers a copy of a request with a ticket to any node, however
+// late. The node redeems its own tickets and forwards others to their minter.
 func (w *world) drawRedeem(t *rapid.T) {
 	s, at := w.drawTicket(t)
 	if at == nil {
@@ -307,7 +307,8 @@
 }
 
 // drawTicket returns a ticket and the process that decides on it: the one that
-// has the name of its minter, if the node where the copy arrives reaches it.
+// has the name of the ticket's minter. The process is nil if it is paused or the
+// node where the copy arrives can't reach it.
 func (w *world) drawTicket(t *rapid.T) (*ticketState, *process) {
 	if len(w.tickets) == 0 {
 		t.Skip("no ticket")
--- a/internal/check/world_test.go
+++ b/internal/check/world_test.go
@@ -23,11 +23,11 @@
 	service       = "s"
 	zone          = "z"
 	loadEvery     = time.Second
-	// lease is how long a permit counts unless it is given back.
+	// lease is how long a permit counts unless it is released.
 	lease = 20 * time.Second
 	// leaveGrace is the time after which a leaving endpoint gets no new work:
-	// its home reads its report each second, and acts on no view older than
-	// MaxAge.
+	// its owner reads its load report each second and does not act on a view
+	// older than MaxAge.
 	leaveGrace = loadEvery + kernel.MaxAge + kernel.DefaultTick
 	ticketLife = 10 * time.Second
 	ticketKeep = 5 * time.Second
@@ -44,39 +44,40 @@
 		started     time.Time
 		paused      bool
 		read        time.Time
-		// probes is the endpoints whose home the process took itself for.
+		// probes is the endpoints that the process last considered its own.
 		probes map[string]bool
-		// told is the engines that have told the process that they leave.
-		told map[string]bool
-		// revision is the highest that was in force.
+		// leaving is the engines from which the process got a leave notice.
+		leaving map[string]bool
+		// revision is the highest configuration revision that was in force.
 		revision uint64
 	}
 
-	// engine is an endpoint.
+	// engine is a simulated endpoint.
 	engine struct {
 		name    string
 		leaving bool
 		left    time.Time
-		// silent engines say only in their answers that they leave.
-		silent  bool
-		running map[uint64]grant
+		// noticeOnly engines announce their leave only in responses, not in
+		// the instance list or in load reports.
+		noticeOnly bool
+		running    map[uint64]grant
 	}
 
 	// grant is a permit under which a request runs.
 	grant struct {
-		home  *process
-		asker string
-		ends  time.Time
-		// forgotten is set once the home took the asker for dead, and its
-		// requests with it.
+		owner     *process
+		requester string
+		ends      time.Time
+		// forgotten is set once the owner considers the requester dead and
+		// no longer counts its requests.
 		forgotten bool
 	}
 
-	// message is a heartbeat on its way, or the answer to one.
+	// message is a heartbeat in transit, or the reply to one.
 	message struct {
-		from, to *process
-		beat     *kernel.Beat
-		answer   bool
+		from, to  *process
+		heartbeat *kernel.Beat
+		answer    bool
 	}
 
 	// world is a fleet, its platform and its endpoints in virtual time.
@@ -90,8 +91,8 @@
 		lists     []kernel.Instances
 		serial    uint64
 		tickets   []*ticketState
-		// calm is when the last fault ended.
-		calm time.Time
+		// lastFault is when the last fault ended.
+		lastFault time.Time
 	}
 )
 
@@ -108,14 +109,14 @@
 	for i := range nodeCount {
 		w.start(i)
 	}
-	w.calm = w.now
+	w.lastFault = w.now
 	return w
 }
 
 // start starts a new incarnation of a node.
 func (w *world) start(i int) {
 	w.serial++
-	p := &process{name: fmt.Sprintf("n%d", i), incarnation: w.serial, started: w.now, told: map[string]bool{}}
+	p := &process{name: fmt.Sprintf("n%d", i), incarnation: w.serial, started: w.now, leaving: map[string]bool{}}
 	self := kernel.Node{Name: p.name, Zone: zone, Incarnation: p.incarnation, Caller: addr(i), Peer: addr(i)}
 	p.kernel, p.gate = builtin.New(self, builtin.Config{Config: config.Config{Hold: config.DefaultHold}})
 	p.tickets = once.New(once.Config{
@@ -146,18 +147,18 @@
 	}
 	for i, e := range w.engines {
 		l.List = append(l.List, kernel.Instance{
-			Name: e.name, Kind: kernel.KindEndpoint, Zone: zone, Service: service, Addr: addr(100 + i), Leaving: e.leaving && !e.silent,
+			Name: e.name, Kind: kernel.KindEndpoint, Zone: zone, Service: service, Addr: addr(100 + i), Leaving: e.leaving && !e.noticeOnly,
 		})
 	}
 	w.lists = append(w.lists, l)
 }
 
-// step hands an event to a process and does what it asks for.
+// step passes an event to a process and carries out the resulting actions.
 func (w *world) step(p *process, ev kernel.Event) {
 	for _, a := range p.kernel.Step(w.now, ev) {
 		switch a := a.(type) {
 		case kernel.SendBeat:
-			w.send(message{from: p, to: w.named(a.To.Name), beat: p.kernel.Beat(w.now, a.To.Name)})
+			w.send(message{from: p, to: w.named(a.To.Name), heartbeat: p.kernel.Beat(w.now, a.To.Name)})
 		case kernel.FetchConfig:
 			w.fetch(p, w.named(a.Node))
 		}
@@ -165,8 +166,8 @@
 	w.probeNew(p)
 }
 
-// probeNew reads the reports of endpoints whose home a process has become, as
-// the node's control does.
+// probeNew reads the load reports of endpoints that a process has taken over, as
+// a node's control goroutine does.
 func (w *world) probeNew(p *process) {
 	probes := map[string]bool{}
 	for _, probe := range p.kernel.View().Probes {
@@ -189,23 +190,23 @@
 	w.step(p, kernel.Accepted{Manifest: from.kernel.View().Manifest})
 }
 
-// send puts a message on its way, through the real codec.
+// send queues a message, encoded and decoded by the real codec.
 func (w *world) send(m message) {
-	m.beat = peer.DecodeBeat(peer.EncodeBeat(m.beat))
+	m.heartbeat = peer.DecodeBeat(peer.EncodeBeat(m.heartbeat))
 	w.messages = append(w.messages, m)
 }
 
-// deliver ends the way of a message, which is lost where the link is cut or the
-// receiver is paused or no more.
+// deliver delivers a message. It is lost if the link is cut or the receiver is
+// paused or gone.
 func (w *world) deliver(m message) {
 	switch {
 	case m.to == nil || !w.alive(m.to) || !w.reaches(m.from, m.to):
 		w.lose(m)
 	case m.answer:
-		w.step(m.to, kernel.BeatReceived{Beat: m.beat})
+		w.step(m.to, kernel.BeatReceived{Beat: m.heartbeat})
 	default:
-		w.step(m.to, kernel.BeatReceived{Beat: m.beat})
-		w.send(message{from: m.to, to: m.from, beat: m.to.kernel.Beat(w.now, m.from.name), answer: true})
+		w.step(m.to, kernel.BeatReceived{Beat: m.heartbeat})
+		w.send(message{from: m.to, to: m.from, heartbeat: m.to.kernel.Beat(w.now, m.from.name), answer: true})
 	}
 }
 
@@ -215,7 +216,8 @@
 	}
 }
 
-// advance lets time pass: processes tick and read their endpoints' reports.
+// advance advances the clock: processes tick and read their endpoints' load
+// reports.
 func (w *world) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(kernel.DefaultTick)
@@ -241,12 +243,12 @@
 	}
 }
 
-// forget notes the permits of nodes that a home takes for dead.
+// forget flags the permits of nodes that an owner considers dead.
 func (w *world) forget(p *process) {
 	v := p.kernel.View()
 	for _, e := range w.engines {
 		for id, g := range e.running {
-			if _, known := v.Node(g.asker); g.home == p && !known {
+			if _, known := v.Node(g.requester); g.owner == p && !known {
 				g.forgotten = true
 				e.running[id] = g
 			}
@@ -265,11 +267,11 @@
 }
 
 func (w *world) reportOne(p *process, e *engine) {
-	w.step(p, kernel.LoadReported{Endpoint: e.name, Load: kernel.Load{Requests: len(e.running)}, Leaving: e.leaving && !e.silent})
+	w.step(p, kernel.LoadReported{Endpoint: e.name, Load: kernel.Load{Requests: len(e.running)}, Leaving: e.leaving && !e.noticeOnly})
 }
 
-// request asks the home of an endpoint, as a node sees it, for a permit, and
-// dispatches where it is granted.
+// request requests a permit from the endpoint's owner, as the node sees it, and
+// dispatches if the permit is granted.
 func (w *world) request(t rapid.TB, p *process, e *engine) {
 	v := p.kernel.View()
 	pool := v.Pools[service]
@@ -277,34 +279,34 @@
 		return
 	}
 	seen, ok := pool.Endpoint(e.name)
-	home := w.named(seen.Home)
-	if ok && seen.Takes() && p.told[e.name] {
-		t.Fatalf("%s would send to %s, which has told it that it leaves", p.name, e.name)
+	owner := w.named(seen.Home)
+	if ok && seen.Takes() && p.leaving[e.name] {
+		t.Fatalf("%s would dispatch to %s after a leave notice from it", p.name, e.name)
 	}
-	if !ok || home == nil || !w.reaches(p, home) || p.told[e.name] {
+	if !ok || owner == nil || !w.reaches(p, owner) || p.leaving[e.name] {
 		return
 	}
 	w.serial++
 	ask := gate.Ask{ID: w.serial, Endpoint: e.name, Tokens: 10, Node: p.name, Lease: lease}
-	reply := home.gate.Apply(w.now, gate.Batch{Asks: []gate.Ask{ask}})
+	reply := owner.gate.Apply(w.now, gate.Batch{Asks: []gate.Ask{ask}})
 	if reply.Verdicts[0] != gate.Granted {
 		return
 	}
-	w.granted(t, home, e)
-	e.running[w.serial] = grant{home: home, asker: p.name, ends: w.now.Add(lease)}
+	w.checkGrant(t, owner, e)
+	e.running[w.serial] = grant{owner: owner, requester: p.name, ends: w.now.Add(lease)}
 }
 
-// finish ends a request, whose asker hears what the engine says, and gives its
-// permit back.
+// finish ends a request and releases its permit. The requester receives the leave
+// notice of a leaving engine.
 func (w *world) finish(e *engine, id uint64) {
 	g := e.running[id]
 	delete(e.running, id)
-	if asker := w.named(g.asker); e.leaving && asker != nil && !asker.paused {
-		asker.told[e.name] = true
-		w.step(asker, kernel.EndpointSpoke{Endpoint: e.name, Leaving: true})
+	if requester := w.named(g.requester); e.leaving && requester != nil && !requester.paused {
+		requester.leaving[e.name] = true
+		w.step(requester, kernel.EndpointSpoke{Endpoint: e.name, Leaving: true})
 	}
-	if w.alive(g.home) {
-		g.home.gate.Apply(w.now, gate.Batch{Returns: []gate.Return{{ID: id}}})
+	if w.alive(g.owner) {
+		g.owner.gate.Apply(w.now, gate.Batch{Returns: []gate.Return{{ID: id}}})
 	}
 }
 
