--- a/internal/replay/cache.go
+++ b/internal/replay/cache.go
@@ -3,8 +3,7 @@
 import "container/list"
 
 type (
-	// prefixCache is the prompt prefixes that a fake endpoint holds; the least
-	// recently used go first.
+	// prefixCache is the LRU cache of prompt prefixes of a fake endpoint.
 	prefixCache struct {
 		capacity int
 		held     int
@@ -22,7 +21,7 @@
 	return &prefixCache{capacity: capacity, order: list.New(), chats: map[string]*list.Element{}}
 }
 
-// tokens returns how much of a chat is held, without using it.
+// tokens returns how many tokens of a chat are cached, without marking it as used.
 func (c *prefixCache) tokens(chat string) int {
 	if e := c.chats[chat]; e != nil {
 		held, _ := e.Value.(*cachedChat)
@@ -31,7 +30,7 @@
 	return 0
 }
 
-// use returns how much of a chat is held and marks it as used.
+// use returns how many tokens of a chat are cached and marks it as used.
 func (c *prefixCache) use(chat string) int {
 	if e := c.chats[chat]; e != nil {
 		c.order.MoveToFront(e)
@@ -39,7 +38,8 @@
 	return c.tokens(chat)
 }
 
-// store holds a chat's tokens.
+// store caches a chat's tokens and evicts others as needed. A chat larger than the
+// cache is not stored.
 func (c *prefixCache) store(chat string, tokens int) {
 	if tokens > c.capacity {
 		return
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// batchSize is how many requests an engine runs in one step, stepTokens
-	// how many prompt tokens it prefills in one.
+	// batchSize is the maximum number of requests that an engine runs in one
+	// step, stepTokens that of the prompt tokens that it prefills in one.
 	batchSize  = 32
 	stepTokens = 128
 	// batchCost is the share of a step's time that each request of the batch
@@ -31,8 +31,8 @@
 		left     time.Duration
 		stepping bool
 		runs     []*run
-		// reports is the loads of the past, the oldest first; the load that
-		// the engine reports lags.
+		// reports is the load history, oldest first; the engine reports its
+		// load with a lag.
 		reports []timedLoad
 	}
 
@@ -40,9 +40,9 @@
 	run struct {
 		attempt uint64
 		index   int
-		ask     *trace.Event
-		// from is the engine to import the chat's prefix from, ready when it
-		// will be here.
+		event   *trace.Event
+		// from is the engine to import the chat's prefix from, ready the time
+		// at which the import is complete.
 		from     string
 		ready    time.Duration
 		prefill  int
@@ -67,16 +67,16 @@
 	return &engine{sim: s, info: info, model: m, cache: newPrefixCache(m.Cache), alive: true}
 }
 
-// prefillRate is how many prompt tokens a second an engine computes with a few
-// other requests in its batch.
+// prefillRate returns how many prompt tokens per second an engine computes with a
+// few other requests in its batch.
 func prefillRate(m trace.Model) float64 {
 	const others = 6
 	step := time.Duration(m.Step).Seconds() * (1 + batchCost*others)
 	return stepTokens / step
 }
 
-// load is the work in progress. A request counts whole, its uncached prompt
-// and its answer, until it is done.
+// load returns the work in progress. A request counts in full, with its uncached
+// prompt and its output, until it is done.
 func (e *engine) load() kernel.Load {
 	var l kernel.Load
 	for _, r := range e.runs {
@@ -85,49 +85,49 @@
 	return l
 }
 
-// report returns the load as the engine tells it, which lags.
+// report returns the load that the engine reports, which is lag old.
 func (e *engine) report(lag time.Duration) kernel.Load {
-	e.note()
+	e.recordLoad()
 	for len(e.reports) > 1 && e.reports[1].at <= e.sim.queue.now-lag {
 		e.reports = e.reports[1:]
 	}
 	return e.reports[0].load
 }
 
-func (e *engine) note() {
+func (e *engine) recordLoad() {
 	e.reports = append(e.reports, timedLoad{at: e.sim.queue.now, load: e.load()})
 }
 
-// start takes an attempt. It reports false where the engine is gone.
+// start accepts an attempt. It returns false if the engine is dead.
 func (e *engine) start(r *run) bool {
 	if !e.alive {
 		return false
 	}
-	cached := min(e.cache.use(r.ask.Chat), r.ask.Prefix)
-	if got := min(e.held(r.from, r.ask.Chat), r.ask.Prefix); got > cached {
+	cached := min(e.cache.use(r.event.Chat), r.event.Prefix)
+	if got := min(e.exportable(r.from, r.event.Chat), r.event.Prefix); got > cached {
 		e.sim.meter.moved += got - cached
 		wait := time.Duration(float64(got-cached) / float64(e.model.Import) * float64(time.Second))
 		r.ready = e.sim.queue.now + wait
 		cached = got
 	}
 	r.cached = cached
-	r.prefill = r.ask.Prefix + r.ask.Input - cached
-	r.decode = r.ask.Output
+	r.prefill = r.event.Prefix + r.event.Input - cached
+	r.decode = r.event.Output
 	r.work = r.prefill + r.decode
 	e.runs = append(e.runs, r)
 	slices.SortStableFunc(e.runs, func(a, b *run) int {
-		return b.ask.Priority - a.ask.Priority
+		return b.event.Priority - a.event.Priority
 	})
 	e.sim.meter.started(e, r, cached)
-	e.note()
+	e.recordLoad()
 	if !e.stepping {
 		e.schedule()
 	}
 	return true
 }
 
-// held returns what another engine can export of a chat.
-func (e *engine) held(from, chat string) int {
+// exportable returns how many tokens of a chat another engine can export.
+func (e *engine) exportable(from, chat string) int {
 	g := e.sim.engines[from]
 	if g == nil || !g.alive || e.model.Import == 0 {
 		return 0
@@ -135,13 +135,13 @@
 	return g.cache.use(chat)
 }
 
-// cancel ends an attempt whose caller has gone.
+// cancel removes an attempt that is complete or whose caller has gone.
 func (e *engine) cancel(attempt uint64) {
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool { return r.attempt == attempt })
-	e.note()
+	e.recordLoad()
 }
 
-// die ends the engine and everything that runs on it.
+// die stops the engine and breaks every attempt that runs on it.
 func (e *engine) die() {
 	runs := e.runs
 	e.alive = false
@@ -162,8 +162,8 @@
 	e.sim.queue.after(step, e.step)
 }
 
-// step runs one batch step: prompts are prefilled in order, up to the tokens
-// of a step, and every prefilled request gets one token.
+// step runs one batch step: it prefills prompts in order, up to stepTokens, and
+// decodes one token for every prefilled request.
 func (e *engine) step() {
 	if !e.alive {
 		return
@@ -199,7 +199,7 @@
 		return
 	}
 	if !e.model.Plain {
-		e.cache.store(r.ask.Chat, r.ask.Prefix+r.ask.Input+r.ask.Output)
+		e.cache.store(r.event.Chat, r.event.Prefix+r.event.Input+r.event.Output)
 	}
 	e.cancel(r.attempt)
 	e.sim.queue.after(e.sim.delay, func() { r.onDone(r.attempt) })
--- a/internal/replay/ideal.go
+++ b/internal/replay/ideal.go
@@ -8,21 +8,21 @@
 	"bulrushhinge.example/bulrushhinge/pkg/trace"
 )
 
-// idealPause is how long the ideal router waits where every engine is full.
-const idealPause = 20 * time.Millisecond
+// idealRetryInterval is how long the ideal router waits if every engine is full.
+const idealRetryInterval = 20 * time.Millisecond
 
-// sendIdeal places a request as one router would that knows every engine's
-// load and cache at once.
+// sendIdeal places a request as a single router would that knows every engine's
+// load and cache without delay.
 func (s *simulation) sendIdeal(i int, e *trace.Event) {
 	g, from := s.idealEngine(e)
 	if g == nil {
-		s.queue.after(idealPause, func() { s.sendIdeal(i, e) })
+		s.queue.after(idealRetryInterval, func() { s.sendIdeal(i, e) })
 		return
 	}
 	s.attempts++
-	r := &run{attempt: s.attempts, index: i, ask: e, from: from}
+	r := &run{attempt: s.attempts, index: i, event: e, from: from}
 	r.onFirst = func(uint64) { s.meter.first(i, true) }
-	r.onDone = func(uint64) { s.meter.whole(i, true) }
+	r.onDone = func(uint64) { s.meter.completed(i, true) }
 	r.onBroken = func(first bool) {
 		if first || e.Once {
 			s.meter.broke(i)
@@ -33,13 +33,13 @@
 	g.start(r)
 }
 
-// idealEngine takes the first engine that the present Ranker and Rule allow
-// when they know all.
+// idealEngine returns the first engine, in the order of the policy's Ranker, that
+// its Rule allows, both with exact state, and the engine to import from.
 func (s *simulation) idealEngine(e *trace.Event) (g *engine, from string) {
 	pool := s.pool(e.Model)
 	request := route.Request{
 		Chat: e.Chat, Input: e.Prefix + e.Input, Output: e.Output, Cached: map[string]int{},
-		Import: s.imports()[e.Model],
+		Import: s.importCosts()[e.Model],
 	}
 	for _, candidate := range pool.Endpoints {
 		if held := min(s.engines[candidate.Name].cache.tokens(e.Chat), e.Prefix); held > 0 {
@@ -56,7 +56,7 @@
 	return nil, ""
 }
 
-// largest is the most tokens of a request in progress at a pool.
+// largest returns the tokens of the largest request in progress in a pool.
 func (s *simulation) largest(pool *kernel.Pool) int {
 	most := 0
 	for _, e := range pool.Endpoints {
--- a/internal/replay/job.go
+++ b/internal/replay/job.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	callerDelay = time.Millisecond
-	entryKeep   = 30 * time.Second
-	askTimeout  = 250 * time.Millisecond
-	leaseSlack  = time.Second
-	// clientsPerAccount is how many caller processes an account runs.
+	callerDelay   = time.Millisecond
+	entryTTL      = 30 * time.Second
+	permitTimeout = 250 * time.Millisecond
+	leaseSlack    = time.Second
+	// clientsPerAccount is the number of caller processes of an account.
 	clientsPerAccount = 8
-	// One chat in hintless belongs to a caller that brings no hints back.
+	// One chat in hintless belongs to a caller that sends no hints back.
 	hintless = 5
 )
 
 type (
-	// client is a caller's process; it keeps a node's address for a while.
+	// client is a caller's process; it caches a node's address for entryTTL.
 	client struct {
 		zone  string
 		node  *node
@@ -49,9 +49,9 @@
 	}
 )
 
-// ask sends a request of a caller.
-func (s *simulation) ask(i int, e *trace.Event) {
-	s.meter.asked(i, e)
+// submit records a caller's request and sends it.
+func (s *simulation) submit(i int, e *trace.Event) {
+	s.meter.arrived(i, e)
 	s.send(i, e, s.time().Add(time.Duration(e.Deadline)))
 }
 
@@ -68,15 +68,15 @@
 	j := &job{sim: s, node: n, index: i, event: e}
 	j.request = route.Request{
 		ID: uint64(i) + 1, Account: e.Account, Chat: e.Chat, Service: e.Model, Model: e.Model, Zone: n.zone,
-		Input: e.Prefix + e.Input, Output: asked(e.Output), Once: e.Once, Priority: e.Priority,
+		Input: e.Prefix + e.Input, Output: outputLimit(e.Output), Once: e.Once, Priority: e.Priority,
 		Deadline: deadline, Hint: s.hints[e.Chat],
 	}
 	s.queue.after(callerDelay, func() { j.begin(deadline) })
 }
 
-// asked is the most tokens that a caller allows for an answer; callers set it
-// far above what they get.
-func asked(output int) int {
+// outputLimit returns the maximum number of output tokens that a caller sets;
+// callers set it well above what they get.
+func outputLimit(output int) int {
 	limit := 256
 	for limit < output {
 		limit *= 2
@@ -84,8 +84,8 @@
 	return limit
 }
 
-// entry returns the node that a caller's process uses; the process asks any
-// node for the address and keeps it for a while.
+// entry returns the node that a caller's process uses. The process gets the
+// address from any open node and caches it for entryTTL.
 func (s *simulation) entry(e *trace.Event) *node {
 	h := xxhash.Sum64String(e.Chat)
 	name := e.Account + "/" + string(rune('a'+h%clientsPerAccount))
@@ -98,15 +98,15 @@
 	if c.node != nil && c.node.open() && s.queue.now < c.until {
 		return c.node
 	}
-	c.until = s.queue.now + entryKeep
+	c.until = s.queue.now + entryTTL
 	c.node = nil
 	first := s.random.IntN(len(s.nodes))
 	for k := range s.nodes {
-		asked := s.nodes[(first+k)%len(s.nodes)]
-		if !asked.open() {
+		contact := s.nodes[(first+k)%len(s.nodes)]
+		if !contact.open() {
 			continue
 		}
-		for _, n := range caller.Nodes(asked.view(), c.zone, name) {
+		for _, n := range caller.Nodes(contact.view(), c.zone, name) {
 			if found := s.node(n.Name); found != nil && found.open() {
 				c.node = found
 				return found
@@ -129,7 +129,7 @@
 
 func (j *job) begin(deadline time.Time) {
 	if !j.node.open() {
-		j.broken(false)
+		j.onNodeStopped(false)
 		return
 	}
 	j.node.jobs[j] = true
@@ -146,7 +146,7 @@
 	step := j.plan.Next(s.time(), j.node.view())
 	switch step.Kind {
 	case route.StepAsk:
-		j.ask(step)
+		j.requestPermit(step)
 	case route.StepRun:
 		j.start(step.Endpoint, step.From.Name)
 	case route.StepWait:
@@ -174,7 +174,7 @@
 	}
 	permit := j.permit
 	g := s.engines[e.Name]
-	r := &run{attempt: permit, index: j.index, ask: j.event, from: from, onFirst: j.onFirst, onDone: j.onDone, onBroken: j.onBroken}
+	r := &run{attempt: permit, index: j.index, event: j.event, from: from, onFirst: j.onFirst, onDone: j.onDone, onBroken: j.onBroken}
 	s.queue.after(s.delay, func() {
 		if j.done {
 			return
@@ -219,10 +219,10 @@
 	}
 	j.end()
 	j.release()
-	j.sim.meter.whole(j.index, attempt == j.permit)
+	j.sim.meter.completed(j.index, attempt == j.permit)
 }
 
-// onBroken is the end of the endpoint that ran the request.
+// onBroken handles the death of the endpoint that ran the request.
 func (j *job) onBroken(first bool) {
 	if j.done {
 		return
@@ -239,9 +239,9 @@
 	j.report(route.OutcomeLost)
 }
 
-// broken is the end of the node that carried the request. The caller notices
-// and asks another node, unless the request must not be repeated.
-func (j *job) broken(begun bool) {
+// onNodeStopped handles the stop of the node that carried the request. The caller
+// notices and sends it to another node, unless the request must not be repeated.
+func (j *job) onNodeStopped(begun bool) {
 	s := j.sim
 	j.end()
 	if j.engine != nil {
@@ -255,7 +255,7 @@
 	s.queue.after(callerDelay, func() { s.send(j.index, j.event, j.request.Deadline) })
 }
 
-// expire is the caller's deadline.
+// expire ends the request at the caller's deadline.
 func (j *job) expire() {
 	if j.done {
 		return
--- a/internal/replay/meter.go
+++ b/internal/replay/meter.go
@@ -14,8 +14,8 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	// leaveGrace is how long after an announced leave an endpoint may still
-	// get new work.
+	// leaveGrace is how long an endpoint may still get new work after its
+	// leave is announced.
 	leaveGrace = 3 * time.Second
 
 	// Histograms hold times in microseconds and ratios in thousandths.
@@ -23,11 +23,11 @@
 	maxRatio   = 1_000_000
 	digits     = 3
 	thousandth = 1000
-	// slack is for rounding.
-	slack = 1e-9
+	// epsilon allows for rounding errors.
+	epsilon = 1e-9
 )
 
-// Ends of a request.
+// Outcomes of a request.
 const (
 	endNone ending = iota
 	endWhole
@@ -39,38 +39,38 @@
 type (
 	ending int
 
-	// record is what became of one request of the trace.
+	// record tracks one request of the trace.
 	record struct {
-		event  *trace.Event
-		at     time.Duration
-		starts int
-		first  bool
-		end    ending
-		notRun bool
-		wholes int
+		event       *trace.Event
+		at          time.Duration
+		starts      int
+		first       bool
+		end         ending
+		notRun      bool
+		completions int
 	}
 
-	// meter takes the measures of a replay.
+	// meter collects the measurements of a replay.
 	meter struct {
-		sim       *simulation
-		records   map[int]*record
-		order     []int
-		reused    int
-		reusable  int
-		moved     int
-		firsts    *hdrhistogram.Histogram
-		requests  skewMeter
-		tokens    skewMeter
-		reasons   map[route.Reason]int
-		crossed   int
-		late      int
-		cut       int
-		verdicts  map[gate.Verdict]int
-		waits     int
-		accepts   map[uint64]time.Duration
-		forced    map[uint64]time.Duration
-		unanswers int
-		rerun     int
+		sim          *simulation
+		records      map[int]*record
+		order        []int
+		reused       int
+		reusable     int
+		moved        int
+		firsts       *hdrhistogram.Histogram
+		requests     skewMeter
+		tokens       skewMeter
+		reasons      map[route.Reason]int
+		crossed      int
+		late         int
+		cut          int
+		verdicts     map[gate.Verdict]int
+		waits        int
+		acceptedAt   map[uint64]time.Duration
+		inForceAfter map[uint64]time.Duration
+		noEntry      int
+		rerun        int
 	}
 
 	// skewMeter holds the samples of one kind of load.
@@ -79,23 +79,23 @@
 		raw     *hdrhistogram.Histogram
 		worst   float64
 		worstAt time.Duration
-		// small counts the samples of the small-mean case, over those above
-		// the bound.
+		// small counts the samples of the small-mean case (see add), over
+		// those above the bound.
 		samples, small, over int64
 	}
 )
 
 func newMeter(s *simulation) *meter {
 	return &meter{
-		sim:      s,
-		records:  map[int]*record{},
-		firsts:   hdrhistogram.New(1, maxMicros, digits),
-		requests: newSkewMeter(),
-		tokens:   newSkewMeter(),
-		reasons:  map[route.Reason]int{},
-		verdicts: map[gate.Verdict]int{},
-		accepts:  map[uint64]time.Duration{},
-		forced:   map[uint64]time.Duration{},
+		sim:          s,
+		records:      map[int]*record{},
+		firsts:       hdrhistogram.New(1, maxMicros, digits),
+		requests:     newSkewMeter(),
+		tokens:       newSkewMeter(),
+		reasons:      map[route.Reason]int{},
+		verdicts:     map[gate.Verdict]int{},
+		acceptedAt:   map[uint64]time.Duration{},
+		inForceAfter: map[uint64]time.Duration{},
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-func (m *meter) asked(i int, e *trace.Event) {
+func (m *meter) arrived(i int, e *trace.Event) {
 	m.records[i] = &record{event: e, at: m.sim.queue.now}
 	m.order = append(m.order, i)
 }
@@ -122,12 +122,12 @@
 	}
 	if !g.model.Plain {
 		m.reused += cached
-		m.reusable += r.ask.Prefix
+		m.reusable += r.event.Prefix
 	}
 }
 
-func (m *meter) first(i int, own bool) {
-	if !own {
+func (m *meter) first(i int, current bool) {
+	if !current {
 		m.crossed++
 	}
 	rec := m.records[i]
@@ -137,12 +137,12 @@
 	}
 }
 
-func (m *meter) whole(i int, own bool) {
-	if !own {
+func (m *meter) completed(i int, current bool) {
+	if !current {
 		m.crossed++
 	}
 	m.records[i].end = endWhole
-	m.records[i].wholes++
+	m.records[i].completions++
 }
 
 func (m *meter) refused(i int, reason route.Reason, notRun bool) {
@@ -153,15 +153,16 @@
 
 func (m *meter) broke(i int)    { m.records[i].end = endBroken }
 func (m *meter) expired(i int)  { m.records[i].end = endExpired }
-func (m *meter) unanswered(int) { m.unanswers++ }
+func (m *meter) unanswered(int) { m.noEntry++ }
 
-// accepted notes when a revision was accepted, force when a node has it.
-func (m *meter) accepted(revision uint64) { m.accepts[revision] = m.sim.queue.now }
+// accepted records when a revision was accepted, checkInForce how long it then
+// took until the revision was in force at every node.
+func (m *meter) accepted(revision uint64) { m.acceptedAt[revision] = m.sim.queue.now }
 
-func (m *meter) force() {
-	for revision, at := range m.accepts {
-		if _, done := m.forced[revision]; !done && m.sim.inForce(revision) {
-			m.forced[revision] = m.sim.queue.now - at
+func (m *meter) checkInForce() {
+	for revision, at := range m.acceptedAt {
+		if _, done := m.inForceAfter[revision]; !done && m.sim.inForce(revision) {
+			m.inForceAfter[revision] = m.sim.queue.now - at
 		}
 	}
 }
@@ -173,7 +174,7 @@
 	})
 }
 
-// sample measures the skew from one time to another.
+// sample samples the skew each sampleInterval between two times.
 func (m *meter) sample(from, to time.Duration) {
 	m.sim.queue.at(from, func() {
 		for _, model := range m.sim.trace.Header.Models {
@@ -197,17 +198,17 @@
 		most.Requests = max(most.Requests, e.Load.Requests)
 		most.Tokens = max(most.Tokens, e.Load.Tokens)
 	}
-	now := m.sim.queue.now - settle
+	now := m.sim.queue.now - settleTime
 	m.requests.add(now, pool.Bound, most.Requests, pool.Total.Requests, pool.Live, 1)
 	m.tokens.add(now, pool.Bound, most.Tokens, pool.Total.Tokens, pool.Live, m.sim.largest(pool))
 }
 
-// add takes one sample: the load of the most loaded engine over the mean.
+// add adds one sample: the load of the most loaded engine over the mean.
 //
-// Where the mean is so small that one unit of work, a request or the largest
-// request in progress, is more than what the bound leaves above the mean, no
-// placement can hold the multiple. There the mean counts as the smallest at
-// which it can.
+// If one unit of work (a request, or the tokens of the largest request in
+// progress) exceeds the headroom of the bound over the mean, no placement can keep
+// the ratio within the bound. In this small-mean case add divides by the smallest
+// mean at which one can.
 func (s *skewMeter) add(now time.Duration, bound float64, most, total, live, unit int) {
 	if total == 0 {
 		return
@@ -225,7 +226,7 @@
 	if ratio > s.worst {
 		s.worst, s.worstAt = ratio, now
 	}
-	if ratio > bound+slack {
+	if ratio > bound+epsilon {
 		s.over++
 	}
 }
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	loadInterval = time.Second
-	beatTimeout  = time.Second
-	nodeGrace    = 2 * time.Second
-	dueInterval  = 5 * time.Millisecond
-	// probeBytes is the request for a load report and the headers of the
-	// answer, as net/http writes them.
+	loadInterval     = time.Second
+	heartbeatTimeout = time.Second
+	nodeGrace        = 2 * time.Second
+	flushInterval    = 5 * time.Millisecond
+	// probeBytes is the size of the request for a load report and of the
+	// response headers, as net/http writes them.
 	probeBytes = 180
 )
 
 type (
-	// node is one node of the fleet: its real control state and what drives it.
+	// node is one node of the fleet: its real control state and its driver.
 	node struct {
 		sim     *simulation
 		name    string
@@ -43,16 +43,17 @@
 		until   time.Duration
 		listed  uint64
 		jobs    map[*job]bool
-		spent   spending
+		traffic traffic
 	}
 
-	// spending is the bytes of control traffic that a node sent, by purpose.
-	spending struct {
-		beats    int
-		permits  int
-		probes   int
-		platform int
-		config   int
+	// traffic is the control traffic counted at a node, in bytes by purpose.
+	// Probes and platform reads count with their responses.
+	traffic struct {
+		heartbeats int
+		permits    int
+		probes     int
+		platform   int
+		config     int
 	}
 )
 
@@ -60,7 +61,7 @@
 	n := &node{sim: s, name: info.Instance, zone: info.Zone, alive: true, since: s.queue.now, jobs: map[*job]bool{}, holder: gate.NewHolder()}
 	self := kernel.Node{
 		Name: info.Instance, Zone: info.Zone, Incarnation: s.random.Uint64(),
-		Caller: address(exampleAddrs), Peer: address(exampleAddrs),
+		Caller: address(examplePort), Peer: address(examplePort),
 	}
 	n.kernel, n.gate = builtin.New(self, builtin.Config{
 		Membership: membership.Config{Active: func() int { return len(n.jobs) }},
@@ -70,12 +71,12 @@
 	})
 	random := rand.New(rand.NewPCG(s.random.Uint64(), seedStream))
 	settings := s.config.Policy.Route(random)
-	settings.Import = s.imports()
+	settings.Import = s.importCosts()
 	n.router = route.NewRouter(settings)
 	s.all = append(s.all, n)
 	phase := time.Duration(s.random.Int64N(int64(kernel.DefaultTick)))
 	s.queue.after(phase, n.tick)
-	s.queue.after(phase, n.tell)
+	s.queue.after(phase, n.flushLoop)
 	s.queue.after(time.Duration(s.random.Int64N(int64(loadInterval))), n.readLoads)
 	return n
 }
@@ -94,11 +95,11 @@
 	n.sim.queue.after(kernel.DefaultTick, n.tick)
 }
 
-// tell tells homes what they have to hear, as the dispatcher of a node does.
-func (n *node) tell() {
+// flushLoop flushes each flushInterval, as the dispatcher of a node does.
+func (n *node) flushLoop() {
 	if n.alive {
-		n.due()
-		n.sim.queue.after(dueInterval, n.tell)
+		n.flush()
+		n.sim.queue.after(flushInterval, n.flushLoop)
 	}
 }
 
@@ -109,13 +110,13 @@
 	for _, a := range n.kernel.Step(n.sim.time(), ev) {
 		n.act(a)
 	}
-	n.sim.meter.force()
+	n.sim.meter.checkInForce()
 }
 
 func (n *node) act(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.SendBeat:
-		n.sendBeat(a.To.Name)
+		n.sendHeartbeat(a.To.Name)
 	case kernel.FetchConfig:
 		n.fetch(a)
 	default:
@@ -123,7 +124,7 @@
 	}
 }
 
-// fetch takes the accepted revision from a peer.
+// fetch fetches the accepted revision from a peer.
 func (n *node) fetch(a kernel.FetchConfig) {
 	s := n.sim
 	s.queue.after(2*s.delay, func() {
@@ -133,30 +134,30 @@
 			return
 		}
 		m := from.view().Manifest
-		from.spent.config += recordBytes + jsonBytes(m)
+		from.traffic.config += recordBytes + jsonBytes(m)
 		n.step(kernel.Accepted{Manifest: m})
 	})
 }
 
-func (n *node) sendBeat(to string) {
+func (n *node) sendHeartbeat(to string) {
 	s := n.sim
 	wire := peer.EncodeBeat(n.kernel.Beat(s.time(), to))
-	n.spent.beats += peer.RequestBytes(peer.CallBeat, wire)
+	n.traffic.heartbeats += peer.RequestBytes(peer.CallBeat, wire)
 	s.queue.after(s.delay, func() {
 		target := s.node(to)
 		if target == nil {
-			s.queue.after(beatTimeout, func() { n.step(kernel.BeatFailed{Node: to}) })
+			s.queue.after(heartbeatTimeout, func() { n.step(kernel.BeatFailed{Node: to}) })
 			return
 		}
 		target.step(kernel.BeatReceived{Beat: peer.DecodeBeat(wire)})
 		reply := peer.EncodeBeat(target.kernel.Beat(s.time(), n.name))
-		target.spent.beats += peer.ReplyBytes(reply)
+		target.traffic.heartbeats += peer.ReplyBytes(reply)
 		s.queue.after(s.delay, func() { n.step(kernel.BeatReceived{Beat: peer.DecodeBeat(reply)}) })
 	})
 }
 
-// readLoads reads the load reports of the endpoints whose home the node is, as
-// the control goroutine of a node does.
+// readLoads reads the load reports of the endpoints that the node owns, as the
+// control goroutine of a node does.
 func (n *node) readLoads() {
 	if !n.alive {
 		return
@@ -166,13 +167,13 @@
 		n.readLoad(e.Name)
 	}
 	if n.sim.config.Policy.Poll {
-		n.readOthers(v)
+		n.readUnowned(v)
 	}
 	n.sim.queue.after(loadInterval, n.readLoads)
 }
 
-// readOthers reads the loads of endpoints whose home the node is not.
-func (n *node) readOthers(v *kernel.View) {
+// readUnowned reads the load reports of endpoints that other nodes own.
+func (n *node) readUnowned(v *kernel.View) {
 	for _, service := range sortedNames(v.Pools) {
 		for _, e := range v.Pools[service].Endpoints {
 			if e.Home != v.Self.Name {
@@ -186,7 +187,7 @@
 	s := n.sim
 	s.queue.after(2*s.delay, func() {
 		g := s.engines[name]
-		n.spent.probes += probeBytes
+		n.traffic.probes += probeBytes
 		if g == nil || !g.alive {
 			n.step(kernel.EndpointFailed{Endpoint: name})
 			return
@@ -196,14 +197,14 @@
 			Requests: load.Requests, Tokens: load.Tokens,
 			Models: []string{g.info.Model}, Leaving: g.leaving,
 		}
-		n.spent.probes += jsonBytes(report)
+		n.traffic.probes += jsonBytes(report)
 		n.gate.Reported(s.time(), name, load)
 		n.step(kernel.LoadReported{Endpoint: name, Load: load, Models: report.Models, Leaving: report.Leaving})
 	})
 }
 
-// drain stops the node as planned: it takes requests for the grace time and
-// ends once those in progress are done.
+// drain starts a planned stop: the node accepts requests for nodeGrace and stops
+// once those in progress are done.
 func (n *node) drain() {
 	n.leaving = true
 	n.step(kernel.Drain{})
@@ -225,12 +226,12 @@
 	n.until = n.sim.queue.now
 }
 
-// die ends the node and breaks every stream that it carries.
+// die stops the node at once and breaks every stream that it carries.
 func (n *node) die() {
 	n.stop()
 	for _, j := range n.sortedJobs() {
-		j.broken(true)
+		j.onNodeStopped(true)
 	}
 }
 
-func (b spending) total() int { return b.beats + b.permits + b.probes + b.platform + b.config }
+func (b traffic) total() int { return b.heartbeats + b.permits + b.probes + b.platform + b.config }
--- a/internal/replay/platform.go
+++ b/internal/replay/platform.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// watchDelay is the time in which the platform answers a watch.
+	// watchDelay is the time that the platform takes to answer a watch.
 	watchDelay = 5 * time.Millisecond
-	// watchBytes is the request line and headers of a watch and the headers of
-	// its answer, as net/http writes them.
-	watchBytes   = 260
-	watchWait    = 30 * time.Second
-	recordBytes  = 200
-	exampleAddrs = 1
+	// watchBytes is the size of a watch's request line and headers and of its
+	// response headers, as net/http writes them.
+	watchBytes  = 260
+	watchWait   = 30 * time.Second
+	recordBytes = 200
+	examplePort = 1
 )
 
-// platformFake publishes the accepted configuration at once and the instance
-// list late.
-type platformFake struct {
+// fakePlatform publishes the accepted configuration at once and the instance
+// list with a delay.
+type fakePlatform struct {
 	sim     *simulation
 	version uint64
 	list    []kernel.Instance
 }
 
-func newPlatformFake(s *simulation) *platformFake { return &platformFake{sim: s} }
+func newFakePlatform(s *simulation) *fakePlatform { return &fakePlatform{sim: s} }
 
-// first tells every node the list and the configuration at the start.
-func (p *platformFake) first() {
+// publishInitial sends the instance list and the configuration to every node at
+// the start.
+func (p *fakePlatform) publishInitial() {
 	p.version++
 	p.list = p.instances()
 	for _, n := range p.sim.nodes {
-		p.boot(n)
+		p.sendInitial(n)
 	}
 }
 
-// boot tells a new node what the platform publishes.
-func (p *platformFake) boot(n *node) {
-	p.tellList(n, p.version, p.list)
-	p.tellAccepted(n)
-	p.rewatch(n)
+// sendInitial sends the current list and configuration to a new node.
+func (p *fakePlatform) sendInitial(n *node) {
+	p.sendList(n, p.version, p.list)
+	p.sendConfig(n)
+	p.countIdleWatches(n)
 }
 
-// changed publishes a new list, which becomes visible with the list's lag and
-// to each node at another time.
-func (p *platformFake) changed() {
+// changed publishes a new list. Nodes see it after ListLag, each with a jitter of
+// its own.
+func (p *fakePlatform) changed() {
 	list := p.instances()
 	s := p.sim
 	s.queue.after(s.config.ListLag, func() {
@@ -60,7 +61,7 @@
 			jitter := time.Duration(s.random.Int64N(int64(listJitter)))
 			s.queue.after(jitter, func() {
 				if n.watches() {
-					p.tellList(n, version, list)
+					p.sendList(n, version, list)
 				}
 			})
 		}
@@ -68,56 +69,56 @@
 }
 
 // accepted publishes the newest configuration.
-func (p *platformFake) accepted() {
+func (p *fakePlatform) accepted() {
 	for _, n := range p.sim.nodes {
 		if n.watches() {
-			p.tellAccepted(n)
+			p.sendConfig(n)
 		}
 	}
 }
 
-// read is a node's own reading of the list.
-func (p *platformFake) read(n *node) { p.tellList(n, p.version, p.list) }
+// read sends the list to a node that reads it itself.
+func (p *fakePlatform) read(n *node) { p.sendList(n, p.version, p.list) }
 
-// watches reports whether a node has waiting watches on the platform.
+// watches reports whether a node has open watches on the platform.
 func (n *node) watches() bool {
 	v := n.view()
 	return n.alive && (v.Watcher || v.At.IsZero())
 }
 
-func (p *platformFake) tellList(n *node, version uint64, list []kernel.Instance) {
+func (p *fakePlatform) sendList(n *node, version uint64, list []kernel.Instance) {
 	if !n.alive || version < n.listed {
 		return
 	}
 	n.listed = version
-	n.spent.platform += watchBytes + listBytes(list)
+	n.traffic.platform += watchBytes + listBytes(list)
 	n.step(kernel.Instances{Version: version, List: list})
 }
 
-func (p *platformFake) tellAccepted(n *node) {
+func (p *fakePlatform) sendConfig(n *node) {
 	m := p.sim.manifest
 	p.sim.queue.after(watchDelay, func() {
 		if !n.alive {
 			return
 		}
-		n.spent.platform += 2*watchBytes + recordBytes + manifestBytes(m)
+		n.traffic.platform += 2*watchBytes + recordBytes + manifestBytes(m)
 		n.step(kernel.Accepted{Manifest: m})
 	})
 }
 
-// rewatch counts the watches that end without news.
-func (p *platformFake) rewatch(n *node) {
+// countIdleWatches counts the traffic of watches that end without a change.
+func (p *fakePlatform) countIdleWatches(n *node) {
 	p.sim.queue.after(watchWait, func() {
 		if n.watches() {
-			n.spent.platform += 2 * watchBytes
+			n.traffic.platform += 2 * watchBytes
 		}
 		if n.alive {
-			p.rewatch(n)
+			p.countIdleWatches(n)
 		}
 	})
 }
 
-func (p *platformFake) instances() []kernel.Instance {
+func (p *fakePlatform) instances() []kernel.Instance {
 	var list []kernel.Instance
 	for _, n := range p.sim.nodes {
 		if !n.alive {
@@ -125,7 +126,7 @@
 		}
 		list = append(list, kernel.Instance{
 			Name: n.name, Kind: kernel.KindNode, Zone: n.zone, Leaving: n.leaving,
-			Addr: address(exampleAddrs), Peer: address(exampleAddrs),
+			Addr: address(examplePort), Peer: address(examplePort),
 		})
 	}
 	for _, name := range sortedNames(p.sim.engines) {
@@ -135,7 +136,7 @@
 		}
 		list = append(list, kernel.Instance{
 			Name: name, Kind: kernel.KindEndpoint, Zone: g.info.Zone, Service: g.info.Model,
-			Addr: address(exampleAddrs), Leaving: g.leaving,
+			Addr: address(examplePort), Leaving: g.leaving,
 		})
 	}
 	return list
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -6,8 +6,8 @@
 )
 
 type (
-	// queue is the one queue of everything that will happen. Events of the
-	// same time run in the order in which they were added.
+	// queue is the event queue and clock of the simulation. Events of the same
+	// time run in the order in which they were added.
 	queue struct {
 		now    time.Duration
 		serial uint64
@@ -23,16 +23,16 @@
 	eventHeap []event
 )
 
-// at adds an event.
+// at schedules an event at a time; a time in the past counts as now.
 func (q *queue) at(at time.Duration, run func()) {
 	q.serial++
 	heap.Push(&q.events, event{at: max(at, q.now), serial: q.serial, run: run})
 }
 
-// after adds an event some time from now.
+// after schedules an event after a delay.
 func (q *queue) after(d time.Duration, run func()) { q.at(q.now+d, run) }
 
-// run runs all events until a time.
+// run runs all events up to and including a time.
 func (q *queue) run(until time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e, _ := heap.Pop(&q.events).(event)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,8 +1,8 @@
-// Package replay feeds a trace through the real control state of every node,
-// in virtual time: real kernels, gates and routing plans, between a fake
-// platform and fake endpoints. It decides nothing by itself, and it has no
-// fault model of networks or processes; a message between two nodes takes a
-// fixed time. The same trace, policy and seed give the same report.
+// Package replay runs a trace through the real control state of every node, in
+// virtual time: real kernels, gates and routing plans, between a fake platform
+// and fake endpoints. It makes no routing decisions of its own and models no
+// faults of networks or processes; a message between two nodes takes a fixed
+// time. The same trace, policy and seed give the same report.
 package replay
 
 import (
@@ -31,32 +31,33 @@
 )
 
 const (
-	// listJitter is by how much nodes see a new instance list at different
-	// times.
+	// listJitter is the maximum difference between the times at which nodes see
+	// a new instance list.
 	listJitter = 500 * time.Millisecond
-	// settle is the time that nodes get to know each other before the first
-	// event of the trace, drain the time after the last deadline.
-	settle = 5 * time.Second
-	drain  = 2 * time.Second
-	// seedStream tells the replay's random numbers from other uses of a seed.
+	// settleTime is the time that nodes get to discover each other before the
+	// first event of the trace, drainTime the time after the last deadline.
+	settleTime = 5 * time.Second
+	drainTime  = 2 * time.Second
+	// seedStream separates the replay's random numbers from other uses of a seed.
 	seedStream = 0x5eed
 )
 
-// ErrReplay is returned where a replay cannot go on.
+// ErrReplay is returned if a replay cannot continue.
 var ErrReplay = errors.New("replay: stopped")
 
 var epoch = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
 
 type (
-	// Config is the settings of a replay; zero durations take their defaults.
+	// Config configures a replay; zero durations take their defaults.
 	Config struct {
 		Policy policy.Policy
-		// LoadLag is how old the load is that an endpoint reports.
+		// LoadLag is the age of the load that an endpoint reports.
 		LoadLag time.Duration
-		// ListLag is how late the instance list is.
+		// ListLag is the delay with which the platform publishes the instance
+		// list.
 		ListLag time.Duration
-		// Ideal replaces all nodes by one router that knows the state of every
-		// endpoint at once.
+		// Ideal replaces all nodes by a single router that knows the state of
+		// every endpoint without delay.
 		Ideal bool
 	}
 
@@ -67,16 +68,16 @@
 		delay    time.Duration
 		random   *rand.Rand
 		manifest *manifest.Manifest
-		platform *platformFake
+		platform *fakePlatform
 		engines  map[string]*engine
-		// nodes is the present nodes, all every one that ever ran.
-		nodes   []*node
-		all     []*node
-		clients map[string]*client
-		hints   map[string]hint.Hint
-		crash   map[string]bool
-		meter   *meter
-		// ideal and rule are the decisions of the ideal router.
+		// nodes is the current nodes, all every node that ever ran.
+		nodes      []*node
+		all        []*node
+		clients    map[string]*client
+		hints      map[string]hint.Hint
+		crashChats map[string]bool
+		meter      *meter
+		// ideal and rule make the decisions of the ideal router.
 		ideal    route.Ranker
 		rule     gate.Rule
 		attempts uint64
@@ -85,7 +86,7 @@
 	}
 )
 
-// Run replays a trace.
+// Run replays a trace and returns its measurements.
 func Run(t *trace.Trace, c Config) (*Result, error) {
 	if c.LoadLag == 0 {
 		c.LoadLag = DefaultLoadLag
@@ -94,19 +95,19 @@
 		c.ListLag = DefaultListLag
 	}
 	s := &simulation{
-		config:  c,
-		trace:   t,
-		delay:   time.Duration(t.Header.Delay),
-		random:  rand.New(rand.NewPCG(t.Header.Seed, seedStream)),
-		engines: map[string]*engine{},
-		clients: map[string]*client{},
-		hints:   map[string]hint.Hint{},
-		crash:   map[string]bool{},
+		config:     c,
+		trace:      t,
+		delay:      time.Duration(t.Header.Delay),
+		random:     rand.New(rand.NewPCG(t.Header.Seed, seedStream)),
+		engines:    map[string]*engine{},
+		clients:    map[string]*client{},
+		hints:      map[string]hint.Hint{},
+		crashChats: map[string]bool{},
 	}
 	s.ideal = cmp.Or(c.Policy.Route(s.random).Ranker, route.NewCostRanker(route.CostConfig{Choices: math.MaxInt}))
 	s.rule = cmp.Or(c.Policy.Gate.Rule, gate.Rule(gate.NewBoundRule()))
 	s.meter = newMeter(s)
-	s.platform = newPlatformFake(s)
+	s.platform = newFakePlatform(s)
 	s.start()
 	s.queue.run(s.end)
 	if s.err != nil {
@@ -115,7 +116,7 @@
 	return s.meter.result(), nil
 }
 
-// time is the virtual time as nodes see it.
+// time returns the virtual time as nodes see it.
 func (s *simulation) time() time.Time { return epoch.Add(s.queue.now) }
 
 func (s *simulation) start() {
@@ -127,23 +128,23 @@
 	for _, n := range h.Nodes {
 		s.nodes = append(s.nodes, newNode(s, n))
 	}
-	s.platform.first()
+	s.platform.publishInitial()
 	for i := range s.trace.Events {
 		e := &s.trace.Events[i]
-		s.queue.at(settle+time.Duration(e.At), func() { s.apply(i, e) })
+		s.queue.at(settleTime+time.Duration(e.At), func() { s.apply(i, e) })
 	}
-	last := settle
+	last := settleTime
 	for _, e := range s.trace.Events {
-		last = max(last, settle+time.Duration(e.At))
-		s.end = max(s.end, settle+time.Duration(e.At+e.Deadline)+drain)
+		last = max(last, settleTime+time.Duration(e.At))
+		s.end = max(s.end, settleTime+time.Duration(e.At+e.Deadline)+drainTime)
 	}
-	s.meter.sample(settle, last)
+	s.meter.sample(settleTime, last)
 }
 
 func (s *simulation) apply(i int, e *trace.Event) {
 	switch e.Kind {
 	case trace.Ask:
-		s.ask(i, e)
+		s.submit(i, e)
 	case trace.Join:
 		s.join(e)
 	case trace.Leave:
@@ -151,7 +152,7 @@
 	case trace.Kill:
 		s.kill(e.Instance)
 	case trace.Crash:
-		s.crash[e.Chat] = true
+		s.crashChats[e.Chat] = true
 	case trace.Accept:
 		s.accept(e.Revision)
 	}
@@ -165,7 +166,7 @@
 	}
 	n := newNode(s, trace.Node{Instance: e.Instance, Zone: e.Zone})
 	s.nodes = append(slices.DeleteFunc(s.nodes, func(o *node) bool { return o.name == n.name }), n)
-	s.platform.boot(n)
+	s.platform.sendInitial(n)
 	s.platform.changed()
 }
 
@@ -181,7 +182,8 @@
 	s.platform.changed()
 }
 
-// retire ends a leaving engine once it is idle.
+// retire stops a leaving engine once it is idle and the list that announces its
+// leave is out.
 func (s *simulation) retire(g *engine) {
 	s.queue.after(time.Second, func() {
 		if len(g.runs) > 0 || s.queue.now-g.left < s.config.ListLag+2*time.Second {
@@ -205,8 +207,8 @@
 
 func (s *simulation) killEngine(g *engine) { s.kill(g.info.Endpoint) }
 
-// crashes reports whether a run is of a chat that crashes its endpoint.
-func (s *simulation) crashes(r *run) bool { return s.crash[r.ask.Chat] }
+// crashes reports whether a run belongs to a chat that crashes its endpoint.
+func (s *simulation) crashes(r *run) bool { return s.crashChats[r.event.Chat] }
 
 func (s *simulation) accept(revision uint64) {
 	m := *s.manifest
@@ -231,7 +233,7 @@
 	}
 }
 
-// pool returns the pool of a service as it is, with no lag.
+// pool returns the exact current pool of a service, without lag.
 func (s *simulation) pool(service string) *kernel.Pool {
 	p := &kernel.Pool{Bound: s.trace.Header.Bound}
 	for _, name := range sortedNames(s.engines) {
@@ -268,8 +270,9 @@
 	return m
 }
 
-// imports returns what importing a token costs over computing it, by service.
-func (s *simulation) imports() map[string]float64 {
+// importCosts returns the cost of importing a token relative to computing it, by
+// service.
+func (s *simulation) importCosts() map[string]float64 {
 	costs := map[string]float64{}
 	for _, m := range s.trace.Header.Models {
 		if m.Import > 0 && s.config.Policy.Import {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// The same trace gives the same report, byte for byte.
-func TestSameReport(t *testing.T) {
+// The same trace must give the same report, byte for byte.
+func TestReportIsDeterministic(t *testing.T) {
 	tr := read(t, "churn.jsonl")
 	var first, second bytes.Buffer
 	require.NoError(t, replay.Table(&first, []*replay.Result{run(t, tr, policy.Present)}))
@@ -39,9 +39,10 @@
 	require.Equal(t, first.String(), second.String())
 }
 
-// Every policy answers every request of a small trace, and none runs a request
-// twice that must not be repeated.
-func TestPromises(t *testing.T) {
+// Guards against a policy that, on a small trace, leaves a request unanswered,
+// runs one twice that must not be repeated, takes the answer of an old attempt,
+// reports one as not run that ran, or places new work long after a leave notice.
+func TestInvariantsHold(t *testing.T) {
 	for _, p := range policy.All() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -7,33 +7,33 @@
 )
 
 type (
-	// Result is the measures of one replay. docs/MEASURES.md defines them.
+	// Result is the measurements of one replay. docs/MEASURES.md defines them.
 	Result struct {
 		Trace  string `json:"trace"`
 		Seed   uint64 `json:"seed"`
 		Policy string `json:"policy"`
 		Asks   int    `json:"asks"`
-		// Reuse is reused over reusable prefix tokens, Ideal the same of the
-		// ideal router.
+		// Reuse is the ratio of reused to reusable prefix tokens, Ideal that of
+		// the ideal router.
 		Reuse float64 `json:"reuse"`
 		Ideal float64 `json:"ideal,omitempty"`
 		// Moved is the part of Reuse that was imported from another engine.
 		Moved    float64 `json:"moved"`
 		Requests Skew    `json:"requests"`
 		Tokens   Skew    `json:"tokens"`
-		// Control is bytes a second, the mean over the nodes and the node that
-		// sent most.
+		// Control is the mean over the nodes, ControlMost the total of the node
+		// with the most traffic, both in bytes per second.
 		Control     Control `json:"control"`
 		ControlMost float64 `json:"controlMost"`
 		First       First   `json:"first"`
 		// Granted and Denied count permits, Waits the pauses of requests that
-		// no endpoint took.
+		// no endpoint accepted.
 		Granted int `json:"granted"`
 		Denied  int `json:"denied"`
 		Waits   int `json:"waits"`
-		// Whole, Refused, Broken and Expired count the ends of requests: whole
-		// answers, refusals, streams that an endpoint's or node's death broke,
-		// and deadlines that passed.
+		// Whole, Refused, Broken and Expired count the outcomes of requests:
+		// complete answers, refusals, streams broken by the death of an
+		// endpoint or node, and expired deadlines.
 		Whole    int            `json:"whole"`
 		Refused  map[string]int `json:"refused,omitempty"`
 		Broken   int            `json:"broken"`
@@ -46,7 +46,7 @@
 		FalseNot int            `json:"falsenot"`
 		Late     int            `json:"late"`
 		// Force is the longest time in seconds until a revision was in force
-		// at every node; negative where one never was.
+		// at every node; negative if one never was.
 		Force float64 `json:"force"`
 	}
 
@@ -54,17 +54,17 @@
 	Skew struct {
 		P99   float64 `json:"p99"`
 		Worst float64 `json:"worst"`
-		// WorstAt is when in the trace, in seconds.
+		// WorstAt is the time of Worst in the trace, in seconds.
 		WorstAt float64 `json:"worstAt"`
-		// Over is the share of samples above the bound, Small that of the
-		// small-mean case.
+		// Over is the share of samples above the bound, Small the share of
+		// samples in the small-mean case.
 		Over  float64 `json:"over"`
 		Small float64 `json:"small"`
-		// Raw is the plain ratio at p99, with no small-mean case.
+		// Raw is the p99 of the plain ratio, without the small-mean case.
 		Raw float64 `json:"raw"`
 	}
 
-	// Control is bytes of control traffic a second, by purpose.
+	// Control is control traffic in bytes per second, by purpose.
 	Control struct {
 		Total    float64 `json:"total"`
 		Beats    float64 `json:"beats"`
@@ -82,13 +82,13 @@
 	}
 )
 
-// Ideal is the name under which the ideal router stands in reports.
+// Ideal is the name of the ideal router in reports.
 const Ideal = "ideal"
 
 const (
-	median = 50
-	ninety = 95
-	tail   = 99
+	p50    = 50
+	p95    = 95
+	p99    = 99
 	micros = 1e6
 )
 
@@ -108,22 +108,22 @@
 		r.Moved = float64(m.moved) / float64(m.reusable)
 	}
 	quantile := func(q float64) float64 { return float64(m.firsts.ValueAtQuantile(q)) / micros }
-	r.First = First{P50: quantile(median), P95: quantile(ninety), P99: quantile(tail)}
+	r.First = First{P50: quantile(p50), P95: quantile(p95), P99: quantile(p99)}
 	for reason, n := range m.reasons {
 		r.Refused[string(reason)] = n
 	}
-	m.ends(r)
+	m.outcomes(r)
 	if !m.sim.config.Ideal {
 		m.control(r)
 	}
-	m.forces(r)
+	m.timeToForce(r)
 	return r
 }
 
-func (m *meter) ends(r *Result) {
+func (m *meter) outcomes(r *Result) {
 	for _, i := range m.order {
 		rec := m.records[i]
-		if rec.event.Once && rec.starts > 1 || rec.wholes > 1 {
+		if rec.event.Once && rec.starts > 1 || rec.completions > 1 {
 			r.Doubled++
 		}
 		switch rec.end {
@@ -153,12 +153,12 @@
 		}
 		seconds := max((until - n.since).Seconds(), time.Second.Seconds())
 		nodes++
-		r.Control.Beats += float64(n.spent.beats) / seconds
-		r.Control.Permits += float64(n.spent.permits) / seconds
-		r.Control.Probes += float64(n.spent.probes) / seconds
-		r.Control.Config += float64(n.spent.config) / seconds
-		r.Control.Platform += float64(n.spent.platform) / seconds
-		r.ControlMost = max(r.ControlMost, float64(n.spent.total())/seconds)
+		r.Control.Beats += float64(n.traffic.heartbeats) / seconds
+		r.Control.Permits += float64(n.traffic.permits) / seconds
+		r.Control.Probes += float64(n.traffic.probes) / seconds
+		r.Control.Config += float64(n.traffic.config) / seconds
+		r.Control.Platform += float64(n.traffic.platform) / seconds
+		r.ControlMost = max(r.ControlMost, float64(n.traffic.total())/seconds)
 	}
 	c := &r.Control
 	for _, part := range []*float64{&c.Beats, &c.Permits, &c.Probes, &c.Platform, &c.Config} {
@@ -167,9 +167,9 @@
 	}
 }
 
-func (m *meter) forces(r *Result) {
-	for revision := range m.accepts {
-		took, done := m.forced[revision]
+func (m *meter) timeToForce(r *Result) {
+	for revision := range m.acceptedAt {
+		took, done := m.inForceAfter[revision]
 		if !done {
 			r.Force = -1
 			return
@@ -180,10 +180,10 @@
 
 func (s *skewMeter) skew() Skew {
 	k := Skew{
-		P99:     float64(s.ratios.ValueAtQuantile(tail)) / thousandth,
+		P99:     float64(s.ratios.ValueAtQuantile(p99)) / thousandth,
 		Worst:   s.worst,
 		WorstAt: s.worstAt.Seconds(),
-		Raw:     float64(s.raw.ValueAtQuantile(tail)) / thousandth,
+		Raw:     float64(s.raw.ValueAtQuantile(p99)) / thousandth,
 	}
 	if s.samples > 0 {
 		k.Small = float64(s.small) / float64(s.samples)
