--- a/control.go
+++ b/control.go
@@ -132,12 +132,12 @@
 func (c *control) View() *kernel.View { return c.config.Kernel.View() }
 
 // Beat handles a peer's heartbeat and returns the node's own.
-func (c *control) Beat(_ context.Context, b *kernel.Beat) *kernel.Beat {
-	var reply *kernel.Beat
-	if !c.do(kernel.BeatReceived{Beat: b}, func(now time.Time) {
+func (c *control) Beat(_ context.Context, b *kernel.Heartbeat) *kernel.Heartbeat {
+	var reply *kernel.Heartbeat
+	if !c.do(kernel.HeartbeatReceived{Heartbeat: b}, func(now time.Time) {
 		reply = c.config.Kernel.Beat(now, b.Node)
 	}) {
-		return &kernel.Beat{}
+		return &kernel.Heartbeat{}
 	}
 	return reply
 }
@@ -229,7 +229,7 @@
 
 func (c *control) execute(now time.Time, a kernel.Action) {
 	switch a := a.(type) {
-	case kernel.SendBeat:
+	case kernel.SendHeartbeat:
 		beat := c.config.Kernel.Beat(now, a.To.Name)
 		c.running.Go(func() { c.sendHeartbeat(a.To, beat) })
 	case kernel.Reread:
@@ -244,16 +244,16 @@
 	}
 }
 
-func (c *control) sendHeartbeat(to kernel.Node, beat *kernel.Beat) {
+func (c *control) sendHeartbeat(to kernel.Node, beat *kernel.Heartbeat) {
 	ctx, cancel := context.WithTimeout(c.ctx, heartbeatTimeout)
 	defer cancel()
 	reply, err := c.config.Peers.Beat(ctx, to.Peer, beat)
 	c.config.Metrics.Beat(err)
 	if err != nil {
-		c.Offer(kernel.BeatFailed{Node: to.Name})
+		c.Offer(kernel.HeartbeatFailed{Node: to.Name})
 		return
 	}
-	c.Offer(kernel.BeatReceived{Beat: reply})
+	c.Offer(kernel.HeartbeatReceived{Heartbeat: reply})
 }
 
 // fetchConfig fetches the newest accepted revision from a peer. The cache
@@ -315,7 +315,7 @@
 	if err != nil {
 		return
 	}
-	c.Offer(kernel.EndpointSpoke{Endpoint: e.Name, Leaving: report.Leaving, Incarnation: report.Incarnation})
+	c.Offer(kernel.EndpointNotice{Endpoint: e.Name, Leaving: report.Leaving, Incarnation: report.Incarnation})
 }
 
 // handleNotice handles a notice that an endpoint at addr sent with a response. It
@@ -328,10 +328,10 @@
 				continue
 			}
 			if n.Leaving {
-				c.tryOffer(kernel.EndpointSpoke{Endpoint: e.Name, Leaving: true, Incarnation: n.Incarnation})
+				c.tryOffer(kernel.EndpointNotice{Endpoint: e.Name, Leaving: true, Incarnation: n.Incarnation})
 			}
 			if n.Rest > 0 {
-				c.tryOffer(kernel.EndpointRests{Endpoint: e.Name, Until: now.Add(n.Rest)})
+				c.tryOffer(kernel.EndpointBackoff{Endpoint: e.Name, Until: now.Add(n.Rest)})
 			}
 		}
 	}
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -83,7 +83,7 @@
 	}
 	v := &kernel.View{Self: kernel.Node{Name: "n1"}, Manifest: m, Pools: map[string]*kernel.Pool{}}
 	for _, s := range m.Services {
-		e := kernel.Endpoint{Name: s.Name + "-1", Service: s.Name, Home: "n1"}
+		e := kernel.Endpoint{Name: s.Name + "-1", Service: s.Name, Owner: "n1"}
 		v.Pools[s.Name] = &kernel.Pool{Service: s, Bound: 1, Endpoints: []kernel.Endpoint{e}, Live: 1}
 	}
 	return v
--- a/internal/capacity/plugin.go
+++ b/internal/capacity/plugin.go
@@ -98,11 +98,11 @@
 		p.recordReport(ev)
 	case kernel.OrderEnded:
 		p.orderEnded(ev)
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat)
-	case kernel.BeatFailed:
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat)
+	case kernel.HeartbeatFailed:
 		delete(p.sent, ev.Node)
-	case kernel.Woken:
+	case kernel.Resumed:
 		p.resumedAt = now
 	case kernel.Tick:
 		if now.Sub(p.lastPlan) >= planInterval {
@@ -116,8 +116,8 @@
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
 // Beat adds the demand for models that changed, for a peer of the cell.
-func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
-	if !b.Near {
+func (p *plugin) Beat(now time.Time, to string, b *kernel.Heartbeat) {
+	if !b.SameCell {
 		return
 	}
 	if b.Intro != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (p *plugin) receive(now time.Time, b *kernel.Beat) {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat) {
 	p.maxRevision = max(p.maxRevision, b.Revision)
 	for _, d := range b.Models {
 		p.peers.Set(now, b.Node, d.Model, d.Rate)
@@ -249,7 +249,7 @@
 func (p *plugin) mayOrder(now time.Time, v *kernel.View, e kernel.Endpoint) bool {
 	s := p.states[e.Name]
 	switch {
-	case e.Home != v.Self.Name || e.Settling || e.State != kernel.Live:
+	case e.Owner != v.Self.Name || e.Settling || e.State != kernel.Live:
 		return false
 	case !v.Fresh(now) || v.Leaving || p.maxRevision > v.Manifest.Revision:
 		return false
--- a/internal/check/world_test.go
+++ b/internal/check/world_test.go
@@ -27,8 +27,8 @@
 	lease = 20 * time.Second
 	// leaveGrace is the time after which a leaving endpoint gets no new work:
 	// its owner reads its load report each second and does not act on a view
-	// older than MaxAge.
-	leaveGrace = loadEvery + kernel.MaxAge + kernel.DefaultTick
+	// older than MaxViewAge.
+	leaveGrace = loadEvery + kernel.MaxViewAge + kernel.DefaultTick
 	ticketLife = 10 * time.Second
 	ticketKeep = 5 * time.Second
 )
@@ -76,7 +76,7 @@
 	// message is a heartbeat in transit, or the reply to one.
 	message struct {
 		from, to  *process
-		heartbeat *kernel.Beat
+		heartbeat *kernel.Heartbeat
 		answer    bool
 	}
 
@@ -157,7 +157,7 @@
 func (w *world) step(p *process, ev kernel.Event) {
 	for _, a := range p.kernel.Step(w.now, ev) {
 		switch a := a.(type) {
-		case kernel.SendBeat:
+		case kernel.SendHeartbeat:
 			w.send(message{from: p, to: w.named(a.To.Name), heartbeat: p.kernel.Beat(w.now, a.To.Name)})
 		case kernel.FetchConfig:
 			w.fetch(p, w.named(a.Node))
@@ -203,16 +203,16 @@
 	case m.to == nil || !w.alive(m.to) || !w.reaches(m.from, m.to):
 		w.lose(m)
 	case m.answer:
-		w.step(m.to, kernel.BeatReceived{Beat: m.heartbeat})
+		w.step(m.to, kernel.HeartbeatReceived{Heartbeat: m.heartbeat})
 	default:
-		w.step(m.to, kernel.BeatReceived{Beat: m.heartbeat})
+		w.step(m.to, kernel.HeartbeatReceived{Heartbeat: m.heartbeat})
 		w.send(message{from: m.to, to: m.from, heartbeat: m.to.kernel.Beat(w.now, m.from.name), answer: true})
 	}
 }
 
 func (w *world) lose(m message) {
 	if !m.answer && w.alive(m.from) && m.to != nil {
-		w.step(m.from, kernel.BeatFailed{Node: m.to.name})
+		w.step(m.from, kernel.HeartbeatFailed{Node: m.to.name})
 	}
 }
 
@@ -279,7 +279,7 @@
 		return
 	}
 	seen, ok := pool.Endpoint(e.name)
-	owner := w.named(seen.Home)
+	owner := w.named(seen.Owner)
 	if ok && seen.Takes() && p.leaving[e.name] {
 		t.Fatalf("%s would dispatch to %s after a leave notice from it", p.name, e.name)
 	}
@@ -303,7 +303,7 @@
 	delete(e.running, id)
 	if requester := w.named(g.requester); e.leaving && requester != nil && !requester.paused {
 		requester.leaving[e.name] = true
-		w.step(requester, kernel.EndpointSpoke{Endpoint: e.name, Leaving: true})
+		w.step(requester, kernel.EndpointNotice{Endpoint: e.name, Leaving: true})
 	}
 	if w.alive(g.owner) {
 		g.owner.gate.Apply(w.now, gate.Batch{Returns: []gate.Return{{ID: id}}})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,8 +80,8 @@
 	case kernel.Instances:
 		p.startup.alone = !hasOtherNode(ev.List, p.self)
 		p.activateHeld(now, out)
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat, out)
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat, out)
 	case kernel.ConfigFailed:
 		p.failed[ev.Node] = now
 	case kernel.Tick:
@@ -101,11 +101,11 @@
 }
 
 // Beat sends peers the revision in force and whether the node is leaving.
-func (p *plugin) Beat(_ time.Time, _ string, b *kernel.Beat) {
+func (p *plugin) Beat(_ time.Time, _ string, b *kernel.Heartbeat) {
 	b.Leaving = p.leaving
 	b.Revision = p.revision()
 	if p.manifest != nil {
-		b.Print = p.manifest.Fingerprint()
+		b.Fingerprint = p.manifest.Fingerprint()
 	}
 }
 
@@ -171,11 +171,11 @@
 	p.startup.held = nil
 	p.conflict = ""
 	clear(p.failed)
-	out.Raise(kernel.Urgent{})
+	out.Raise(kernel.HeartbeatNow{})
 	out.Changed()
 }
 
-func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat, out *kernel.Output) {
 	p.startup.peerSeen = true
 	p.startup.reported = max(p.startup.reported, b.Revision)
 	p.activateHeld(now, out)
@@ -191,11 +191,11 @@
 // If operators accept two manifests under one number, each node keeps the one it
 // got first, and the fleet would run two configurations unnoticed. Neither is
 // newer, so neither replaces the other; the conflict is shown to operators.
-func (p *plugin) compare(b *kernel.Beat, out *kernel.Output) {
-	if p.manifest == nil || b.Revision != p.manifest.Revision || b.Print == 0 || p.conflict != "" {
+func (p *plugin) compare(b *kernel.Heartbeat, out *kernel.Output) {
+	if p.manifest == nil || b.Revision != p.manifest.Revision || b.Fingerprint == 0 || p.conflict != "" {
 		return
 	}
-	if own := p.manifest.Fingerprint(); own != 0 && own != b.Print {
+	if own := p.manifest.Fingerprint(); own != 0 && own != b.Fingerprint {
 		p.conflict = b.Node
 		out.Changed()
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,8 +35,8 @@
 	return kernel.Accepted{Manifest: &manifest.Manifest{Revision: revision}}
 }
 
-func heartbeat(from string, revision uint64) kernel.BeatReceived {
-	return kernel.BeatReceived{Beat: &kernel.Beat{Node: from, Revision: revision}}
+func heartbeat(from string, revision uint64) kernel.HeartbeatReceived {
+	return kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{Node: from, Revision: revision}}
 }
 
 func revision(k *kernel.Kernel) uint64 {
@@ -130,15 +130,15 @@
 	own := joined(t, &manifest.Manifest{Revision: 7})
 	other := joined(t, &manifest.Manifest{Revision: 7, Zones: []manifest.Zone{{Name: "a", Region: "r"}}})
 	k.Step(start, kernel.Accepted{Manifest: own})
-	for _, b := range []kernel.Beat{
-		{Node: "n2", Revision: 7, Print: own.Fingerprint()},
-		{Node: "n3", Revision: 6, Print: other.Fingerprint()},
+	for _, b := range []kernel.Heartbeat{
+		{Node: "n2", Revision: 7, Fingerprint: own.Fingerprint()},
+		{Node: "n3", Revision: 6, Fingerprint: other.Fingerprint()},
 		{Node: "n4", Revision: 7},
 	} {
-		k.Step(start, kernel.BeatReceived{Beat: &b})
+		k.Step(start, kernel.HeartbeatReceived{Heartbeat: &b})
 		require.Empty(t, k.View().Conflict)
 	}
-	k.Step(start, kernel.BeatReceived{Beat: &kernel.Beat{Node: "n5", Revision: 7, Print: other.Fingerprint()}})
+	k.Step(start, kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{Node: "n5", Revision: 7, Fingerprint: other.Fingerprint()}})
 	require.Equal(t, "n5", k.View().Conflict)
 	require.Equal(t, own, k.View().Manifest)
 	k.Step(start, accepted(8))
--- a/internal/dispatch/paused_test.go
+++ b/internal/dispatch/paused_test.go
@@ -67,9 +67,9 @@
 // Guards against new work for an endpoint that has left. A node that was paused during
 // its permit request must not use the permit when it resumes.
 func TestPermitFromBeforePauseIsNotUsed(t *testing.T) {
-	for _, pause := range []time.Duration{0, kernel.MaxAge} {
+	for _, pause := range []time.Duration{0, kernel.MaxViewAge} {
 		synctest.Test(t, func(t *testing.T) {
-			e := kernel.Endpoint{Name: "w1", Service: "s", Home: "n1"}
+			e := kernel.Endpoint{Name: "w1", Service: "s", Owner: "n1"}
 			view := &kernel.View{Self: kernel.Node{Name: "n1"}, Pools: map[string]*kernel.Pool{
 				"s": {Service: manifest.Service{Name: "s"}, Bound: 2, Live: 1, Endpoints: []kernel.Endpoint{e}},
 			}}
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -27,15 +27,15 @@
 	v := d.config.View()
 	req.Node = v.Self.Name
 	start := time.Now()
-	reply, err := d.send(ctx, v, e.Home, gate.Batch{
-		Asks: []gate.Ask{req}, Returns: d.holder.Returns(e.Home), Own: d.config.Gate.Own(time.Now(), e.Name),
+	reply, err := d.send(ctx, v, e.Owner, gate.Batch{
+		Asks: []gate.Ask{req}, Returns: d.holder.Returns(e.Owner), Own: d.config.Gate.Own(time.Now(), e.Name),
 	})
 	if err != nil {
 		// The owner may have granted the permit, which is not going to be used.
-		d.holder.Return(time.Now(), e.Home, gate.Return{ID: req.ID})
+		d.holder.Return(time.Now(), e.Owner, gate.Return{ID: req.ID})
 		return route.OutcomeUnreachable
 	}
-	d.config.Gate.Heard(time.Now(), e.Home, e.Name, reply.Own)
+	d.config.Gate.Heard(time.Now(), e.Owner, e.Name, reply.Own)
 	d.config.Router.Observe(time.Now(), reply.Loads)
 	outcome, ok := outcomes[reply.Verdicts[0]]
 	if !ok {
@@ -44,10 +44,10 @@
 	if outcome != route.OutcomeGranted {
 		return outcome
 	}
-	d.holder.Take(time.Now(), v, e.Home, req)
+	d.holder.Take(time.Now(), v, e.Owner, req)
 	// If the process was paused during the request, the permit is seconds old
 	// and its endpoint may be leaving by now. The plan requests another one.
-	if time.Since(start) >= kernel.MaxAge {
+	if time.Since(start) >= kernel.MaxViewAge {
 		d.releaseFailed(req.ID)
 		return route.OutcomeUnreachable
 	}
--- a/internal/gate/adopt.go
+++ b/internal/gate/adopt.go
@@ -28,7 +28,7 @@
 	owned := make(map[string]ownership, len(g.owned))
 	for _, p := range v.Pools {
 		for _, e := range p.Endpoints {
-			if e.Home != v.Self.Name {
+			if e.Owner != v.Self.Name {
 				continue
 			}
 			o, known := g.owned[e.Name]
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -23,7 +23,7 @@
 		}
 		load := kernel.Load{Requests: 30, Tokens: 12000}
 		p.Endpoints = append(p.Endpoints, kernel.Endpoint{
-			Name: fmt.Sprintf("w%04d", i), Service: "engines", Home: owner, Load: load,
+			Name: fmt.Sprintf("w%04d", i), Service: "engines", Owner: owner, Load: load,
 		})
 		p.Total = p.Total.Add(load)
 	}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -173,7 +173,7 @@
 	if !ok || e.State == kernel.Leaving {
 		return Gone
 	}
-	if e.Home != v.Self.Name {
+	if e.Owner != v.Self.Name {
 		return NotHome
 	}
 	g.mu.Lock()
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -224,6 +224,6 @@
 	if !ok {
 		return ownerKey{}, false
 	}
-	n, ok := v.Node(e.Home)
+	n, ok := v.Node(e.Owner)
 	return ownerKey{n.Name, n.Incarnation}, ok
 }
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -16,8 +16,8 @@
 // twoNodes returns a view of one service at nodes n1 and n2, whose endpoint w1 has
 // the given owner and load.
 func twoNodes(self, owner string, load int) *kernel.View {
-	e1 := kernel.Endpoint{Name: "w1", Service: "s", Home: owner, Load: kernel.Load{Requests: load}}
-	e2 := kernel.Endpoint{Name: "w2", Service: "s", Home: "n2", Load: kernel.Load{Requests: load}}
+	e1 := kernel.Endpoint{Name: "w1", Service: "s", Owner: owner, Load: kernel.Load{Requests: load}}
+	e2 := kernel.Endpoint{Name: "w2", Service: "s", Owner: "n2", Load: kernel.Load{Requests: load}}
 	return &kernel.View{
 		At:    start,
 		Self:  kernel.Node{Name: self},
--- a/internal/gate/overload_test.go
+++ b/internal/gate/overload_test.go
@@ -48,7 +48,7 @@
 
 func newOverload() *overload {
 	v := &kernel.View{Self: kernel.Node{Name: "n1"}, Pools: map[string]*kernel.Pool{}}
-	e := kernel.Endpoint{Name: "w1", Service: "s", Home: "n1"}
+	e := kernel.Endpoint{Name: "w1", Service: "s", Owner: "n1"}
 	v.Nodes = []kernel.Node{v.Self}
 	v.Pools["s"] = &kernel.Pool{Service: manifest.Service{Name: "s"}, Bound: 100, Endpoints: []kernel.Endpoint{e}, Live: 1}
 	return &overload{
--- a/internal/gate/stale_test.go
+++ b/internal/gate/stale_test.go
@@ -16,12 +16,12 @@
 	p.view.At = p.now
 	ask := gate.Ask{ID: 1, Endpoint: "w1", Tokens: requestTokens, Lease: time.Minute}
 	require.Equal(t, gate.Granted, p.gate.Admit(p.now, ask))
-	resumed := p.now.Add(kernel.MaxAge)
+	resumed := p.now.Add(kernel.MaxViewAge)
 	ask.ID = 2
 	require.Equal(t, gate.NotHome, p.gate.Admit(resumed, ask))
 	p.view.At = resumed
-	p.view.Doubtful = true
+	p.view.Resyncing = true
 	require.Equal(t, gate.NotHome, p.gate.Admit(resumed, ask), "view is resynchronizing")
-	p.view.Doubtful = false
+	p.view.Resyncing = false
 	require.Equal(t, gate.Granted, p.gate.Admit(resumed, ask))
 }
--- a/internal/gate/totals.go
+++ b/internal/gate/totals.go
@@ -60,7 +60,7 @@
 func (g *Gate) ownedLoad(now time.Time, v *kernel.View, p *kernel.Pool) kernel.Load {
 	var sum kernel.Load
 	for _, e := range p.Endpoints {
-		if e.Home == v.Self.Name && e.State == kernel.Live {
+		if e.Owner == v.Self.Name && e.State == kernel.Live {
 			sum = sum.Add(g.load(now, e.Name))
 		}
 	}
@@ -80,12 +80,12 @@
 		if e.State != kernel.Live {
 			continue
 		}
-		h := owners[e.Home]
+		h := owners[e.Owner]
 		h.load = h.load.Add(e.Load)
 		if e.Reported.After(h.at) {
 			h.at = e.Reported
 		}
-		owners[e.Home] = h
+		owners[e.Owner] = h
 	}
 	updated := *p
 	for owner, h := range owners {
--- a/internal/kernel/damper.go
+++ b/internal/kernel/damper.go
@@ -43,5 +43,5 @@
 	d.until = now.Add(time.Duration(holdDown * float64(time.Second)))
 }
 
-// Quiet reports whether the instance is in a hold-down.
-func (d *Damper) Quiet(now time.Time) bool { return now.Before(d.until) }
+// HeldDown reports whether the instance is in a hold-down.
+func (d *Damper) HeldDown(now time.Time) bool { return now.Before(d.until) }
--- a/internal/kernel/digest.go
+++ b/internal/kernel/digest.go
@@ -66,10 +66,10 @@
 	d.Demands = MergeDemands(d.Demands, o.Demands)
 }
 
-// Near reports whether two digests differ only by changes that do not justify a
+// SimilarTo reports whether two digests differ only by changes that do not justify a
 // message.
-func (d *Digest) Near(o *Digest) bool {
-	if !d.SameNodes(o) || len(d.Sums) != len(o.Sums) || len(d.Demands) != len(o.Demands) {
+func (d *Digest) SimilarTo(o *Digest) bool {
+	if !d.SameInstances(o) || len(d.Sums) != len(o.Sums) || len(d.Demands) != len(o.Demands) {
 		return false
 	}
 	for i, s := range d.Sums {
@@ -86,9 +86,9 @@
 	return true
 }
 
-// SameNodes reports whether two digests have the same list version and the same
+// SameInstances reports whether two digests have the same list version and the same
 // absent and extra instances.
-func (d *Digest) SameNodes(o *Digest) bool {
+func (d *Digest) SameInstances(o *Digest) bool {
 	sameNode := func(a, b Intro) bool { return a.Instance == b.Instance }
 	return d.ListVersion == o.ListVersion && slices.Equal(d.Absent, o.Absent) &&
 		slices.EqualFunc(d.Extra, o.Extra, sameNode)
--- a/internal/kernel/event.go
+++ b/internal/kernel/event.go
@@ -30,24 +30,24 @@
 		List    []Instance
 	}
 
-	// Marked is a leave notice that the node received or created. It is raised
+	// InstanceLeaving is a leave notice that the node received or created. It is raised
 	// by the kernel itself.
-	Marked struct {
-		Mark Mark
+	InstanceLeaving struct {
+		Notice LeaveNotice
 	}
 
-	// Digested is a received digest that is newer than the one stored for its
+	// DigestReceived is a received digest that is newer than the one stored for its
 	// scope. It is raised by the kernel itself.
-	Digested struct {
+	DigestReceived struct {
 		Digest Digest
 	}
 
-	// Urgent asks for heartbeats to all peers at the next tick. It is raised
+	// HeartbeatNow asks for heartbeats to all peers at the next tick. It is raised
 	// by the kernel itself.
-	Urgent struct{}
+	HeartbeatNow struct{}
 
-	// Woken is raised when the process resumes after a pause of Gap.
-	Woken struct {
+	// Resumed is raised when the process resumes after a pause of Gap.
+	Resumed struct {
 		Gap time.Duration
 	}
 
@@ -60,13 +60,13 @@
 		Node string
 	}
 
-	// BeatReceived is a heartbeat from a peer, as a call or as the reply to one.
-	BeatReceived struct {
-		Beat *Beat
+	// HeartbeatReceived is a heartbeat from a peer, as a call or as the reply to one.
+	HeartbeatReceived struct {
+		Heartbeat *Heartbeat
 	}
 
-	// BeatFailed reports that a peer did not reply to a heartbeat.
-	BeatFailed struct {
+	// HeartbeatFailed reports that a peer did not reply to a heartbeat.
+	HeartbeatFailed struct {
 		Node string
 	}
 
@@ -86,9 +86,9 @@
 		Fence uint64
 	}
 
-	// EndpointSpoke is an endpoint's notice, sent to this node in a response, of
+	// EndpointNotice is an endpoint's notice, sent to this node in a response, of
 	// whether it is leaving.
-	EndpointSpoke struct {
+	EndpointNotice struct {
 		Endpoint string
 		Leaving  bool
 		// Incarnation is that of the endpoint that sent the notice; 0 if it
@@ -96,9 +96,9 @@
 		Incarnation uint64
 	}
 
-	// EndpointRests is an endpoint's request for backoff: this node sends it no
+	// EndpointBackoff is an endpoint's request for backoff: this node sends it no
 	// requests before Until.
-	EndpointRests struct {
+	EndpointBackoff struct {
 		Endpoint string
 		Until    time.Time
 	}
@@ -136,8 +136,8 @@
 	// Drain starts the node's planned stop.
 	Drain struct{}
 
-	// SendBeat asks for a heartbeat to be sent to a peer.
-	SendBeat struct {
+	// SendHeartbeat asks for a heartbeat to be sent to a peer.
+	SendHeartbeat struct {
 		To Node
 	}
 
@@ -148,32 +148,32 @@
 		Revision uint64
 	}
 
-	// Beat is the content of one heartbeat to a peer.
-	Beat struct {
+	// Heartbeat is the content of one heartbeat to a peer.
+	Heartbeat struct {
 		Node        string
 		Incarnation uint64
 		Serial      uint64
 		Leaving     bool
-		// Listless is set until the sender has an instance list. Until then it
+		// NoList is set until the sender has an instance list. Until then it
 		// cannot own endpoints.
-		Listless bool
+		NoList bool
 		// Active is the number of callers' requests in progress at the sender.
 		Active int
 		// Revision is the accepted revision in force at the sender.
 		Revision uint64
-		// Print is the fingerprint of its manifest; 0 if it has none.
-		Print uint64
+		// Fingerprint is the fingerprint of its manifest; 0 if it has none.
+		Fingerprint uint64
 		// Loads is the load of the endpoints that the sender owns.
 		Loads []EndpointLoad
-		// Marks are the leave notices that the receiver may not know.
-		Marks []Mark
+		// LeaveNotices are the leave notices that the receiver may not know.
+		LeaveNotices []LeaveNotice
 		// Intro describes the sender to a receiver that may not know it.
 		Intro *Intro
 		// ListVersion is the newest version of the instance list that the sender
 		// has applied or that peers reported to it.
 		ListVersion uint64
-		// News is the newest delta of the instance list.
-		News *News
+		// ListDelta is the newest delta of the instance list.
+		ListDelta *ListDelta
 		// Digests are summaries of cells and regions.
 		Digests []Digest
 		// Demands is the demand of the sender's heavy accounts.
@@ -182,12 +182,12 @@
 		Suspects []Suspicion
 		// Models is the demand of the sender's callers for each model.
 		Models []ModelDemand
-		// Near is set if sender and receiver are in the same cell. It is not
+		// SameCell is set if sender and receiver are in the same cell. It is not
 		// transmitted.
-		Near bool
-		// Ends is set if the receiver does not forward digests. It is not
+		SameCell bool
+		// NoForward is set if the receiver does not forward digests. It is not
 		// transmitted.
-		Ends bool
+		NoForward bool
 	}
 
 	// Intro is a node's description of itself.
@@ -197,15 +197,15 @@
 		Age time.Duration
 	}
 
-	// Mark is the notice that an incarnation of an instance is leaving.
-	Mark struct {
+	// LeaveNotice is the notice that an incarnation of an instance is leaving.
+	LeaveNotice struct {
 		Name        string
 		Kind        InstanceKind
 		Incarnation uint64
 	}
 
-	// News is the delta between two versions of the instance list.
-	News struct {
+	// ListDelta is the delta between two versions of the instance list.
+	ListDelta struct {
 		Base    uint64
 		Version uint64
 		Changed []Instance
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -43,7 +43,7 @@
 
 	// Beater is a Plugin that contributes to every heartbeat that the node sends.
 	Beater interface {
-		Beat(now time.Time, to string, b *Beat)
+		Beat(now time.Time, to string, b *Heartbeat)
 	}
 
 	// Summarizer is a Plugin that contributes to the digest of the node's cell.
@@ -130,8 +130,8 @@
 }
 
 // Beat returns the heartbeat to send to a peer.
-func (k *Kernel) Beat(now time.Time, to string) *Beat {
-	b := &Beat{Node: k.self.Name, Incarnation: k.self.Incarnation}
+func (k *Kernel) Beat(now time.Time, to string) *Heartbeat {
+	b := &Heartbeat{Node: k.self.Name, Incarnation: k.self.Incarnation}
 	for _, p := range k.plugins {
 		if beater, ok := p.plugin.(Beater); ok {
 			beater.Beat(now, to, b)
--- a/internal/kernel/suspicion.go
+++ b/internal/kernel/suspicion.go
@@ -14,8 +14,8 @@
 
 // Suspicion is a request that ran on endpoints when they died.
 type Suspicion struct {
-	// Print is the fingerprint of the request, the same on all nodes.
-	Print uint64
+	// Fingerprint is the fingerprint of the request, the same on all nodes.
+	Fingerprint uint64 `json:"Print"`
 	// Endpoints is the endpoints that died, sorted, at most IsolateAfter.
 	Endpoints []string
 	// Age is the time since the last of them died.
--- a/internal/kernel/view.go
+++ b/internal/kernel/view.go
@@ -29,9 +29,9 @@
 	KindEndpoint InstanceKind = "endpoint"
 )
 
-// MaxAge is the age from which a View is out of date. The control goroutine
+// MaxViewAge is the age from which a View is out of date. The control goroutine
 // publishes more often than this unless the process was paused.
-const MaxAge = 2 * time.Second
+const MaxViewAge = 2 * time.Second
 
 type (
 	// State is the health of an instance, which decides whether it gets work.
@@ -79,8 +79,8 @@
 		State   State
 		// Region is that of the availability zone; "" if unknown.
 		Region string
-		// Home is the owner: the node that admits work to the endpoint.
-		Home string
+		// Owner is the node that admits work to the endpoint.
+		Owner string `json:"Home"`
 		// Settling is set while nodes may disagree on the owner: it changed
 		// recently, is not in the endpoint's zone, or a node of the zone is
 		// suspect.
@@ -93,9 +93,9 @@
 		// Models is the models that the endpoint has loaded; nil if it has not
 		// reported them.
 		Models []string
-		// Rest is the end of the backoff that the endpoint requested from this
+		// BackoffUntil is the end of the backoff that the endpoint requested from this
 		// node; zero if there is none.
-		Rest time.Time
+		BackoffUntil time.Time `json:"Rest"`
 	}
 
 	// Pool is the endpoints of one service.
@@ -152,10 +152,10 @@
 		ListVersion uint64
 		// Listed is the version of the instance list that the node has applied.
 		Listed uint64
-		// Doubtful is set after a pause, while the view may be stale: until the
+		// Resyncing is set after a pause, while the view may be stale: until the
 		// node has resynchronized with its peers. Meanwhile it starts nothing
 		// that needs authority.
-		Doubtful bool
+		Resyncing bool `json:"Doubtful"`
 	}
 )
 
@@ -193,7 +193,7 @@
 // a view from before the pause. An owner would then admit work to endpoints that
 // another node has taken over. The age of the view reveals the pause at once.
 func (v *View) Fresh(now time.Time) bool {
-	return !v.Doubtful && now.Sub(v.At) < MaxAge
+	return !v.Resyncing && now.Sub(v.At) < MaxViewAge
 }
 
 // Node returns the node with the given name.
@@ -208,7 +208,9 @@
 }
 
 // Takes reports whether this node may send new requests to the endpoint.
-func (e *Endpoint) Takes() bool { return (e.State == Live || e.State == Suspect) && e.Rest.IsZero() }
+func (e *Endpoint) Takes() bool {
+	return (e.State == Live || e.State == Suspect) && e.BackoffUntil.IsZero()
+}
 
 // Place returns the index of the endpoint with the given name and whether it is
 // in the pool.
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -88,18 +88,18 @@
 
 func (f *fleet) step(n *node, ev kernel.Event) {
 	for _, a := range n.Step(f.now, ev) {
-		send, ok := a.(kernel.SendBeat)
+		send, ok := a.(kernel.SendHeartbeat)
 		if !ok {
 			continue
 		}
 		peer := f.names[send.To.Name]
 		beat := n.Beat(f.now, send.To.Name)
 		if peer == nil || f.cut(n.Self().Name, send.To.Name) {
-			f.step(n, kernel.BeatFailed{Node: send.To.Name})
+			f.step(n, kernel.HeartbeatFailed{Node: send.To.Name})
 			continue
 		}
-		f.step(peer, kernel.BeatReceived{Beat: beat})
-		f.step(n, kernel.BeatReceived{Beat: peer.Beat(f.now, n.Self().Name)})
+		f.step(peer, kernel.HeartbeatReceived{Heartbeat: beat})
+		f.step(n, kernel.HeartbeatReceived{Heartbeat: peer.Beat(f.now, n.Self().Name)})
 	}
 }
 
--- a/internal/limit/plugin.go
+++ b/internal/limit/plugin.go
@@ -105,11 +105,11 @@
 // Handle records the demands that peers send and divides the rates.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, _ *kernel.Output) {
 	switch ev := ev.(type) {
-	case kernel.BeatReceived:
-		record(now, p.peers, ev.Beat.Node, ev.Beat.Demands)
-	case kernel.BeatFailed:
+	case kernel.HeartbeatReceived:
+		record(now, p.peers, ev.Heartbeat.Node, ev.Heartbeat.Demands)
+	case kernel.HeartbeatFailed:
 		delete(p.sent, ev.Node)
-	case kernel.Digested:
+	case kernel.DigestReceived:
 		p.scopes.Reset(ev.Digest.Scope)
 		record(now, p.scopes, ev.Digest.Scope, ev.Digest.Demands)
 	case kernel.Tick:
@@ -124,8 +124,8 @@
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
 // Beat adds the heavy accounts whose demand changed, for a peer of the cell.
-func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
-	if !b.Near {
+func (p *plugin) Beat(now time.Time, to string, b *kernel.Heartbeat) {
+	if !b.SameCell {
 		return
 	}
 	if b.Intro != nil {
@@ -149,7 +149,7 @@
 		}
 	}
 	sortDemands(b.Demands)
-	if b.Ends {
+	if b.NoForward {
 		b.Digests = p.filterDigests(to, b.Digests)
 	}
 }
--- a/internal/loopback/pause_test.go
+++ b/internal/loopback/pause_test.go
@@ -40,7 +40,7 @@
 		x := exchange{node: name, path: chatPath, body: body, ticket: ticket, timeout: "300ms"}.must(t, f)
 		require.Equal(t, string(entry.RanUnknown), x.header.Get(entry.HeaderRan), x.text)
 	}
-	time.Sleep(kernel.MaxAge)
+	time.Sleep(kernel.MaxViewAge)
 	require.NoError(t, node.command.Process.Signal(syscall.SIGCONT))
 	// A node that took the paused one for dead says unknown until it hears from
 	// it; the caller comes back.
--- a/internal/loopback/recovery_test.go
+++ b/internal/loopback/recovery_test.go
@@ -230,7 +230,7 @@
 	}, time.Minute, 10*time.Millisecond, "the others hear from it")
 	for _, p := range f.Node("n2").View().Pools {
 		for _, e := range p.Endpoints {
-			require.NotEqual(t, "n1", e.Home, e.Name)
+			require.NotEqual(t, "n1", e.Owner, e.Name)
 		}
 	}
 	askAll(t, f, "listless", []string{"n2", "n3", "n4"})
--- a/internal/mark/mark.go
+++ b/internal/mark/mark.go
@@ -26,7 +26,7 @@
 	extension struct{}
 
 	notice struct {
-		mark      kernel.Mark
+		mark      kernel.LeaveNotice
 		learnedAt time.Time
 		// knownBy holds the peers that have the notice.
 		knownBy map[string]bool
@@ -49,19 +49,19 @@
 // Handle processes notices from peers and from the node's other plug-ins.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
-	case kernel.Marked:
-		if p.find(ev.Mark) == nil {
-			p.add(now, ev.Mark)
-			out.Raise(kernel.Urgent{})
+	case kernel.InstanceLeaving:
+		if p.find(ev.Notice) == nil {
+			p.add(now, ev.Notice)
+			out.Raise(kernel.HeartbeatNow{})
 		}
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat, out)
-	case kernel.BeatFailed:
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat, out)
+	case kernel.HeartbeatFailed:
 		for _, n := range p.notices {
 			delete(n.knownBy, ev.Node)
 		}
 	case kernel.Drain:
-		out.Raise(kernel.Marked{Mark: kernel.Mark{
+		out.Raise(kernel.InstanceLeaving{Notice: kernel.LeaveNotice{
 			Name: p.self.Name, Kind: kernel.KindNode, Incarnation: p.self.Incarnation,
 		}})
 	case kernel.Tick:
@@ -73,37 +73,37 @@
 func (p *plugin) Publish(time.Time, *kernel.View) {}
 
 // Beat adds the notices that a peer may lack to a heartbeat.
-func (p *plugin) Beat(_ time.Time, to string, b *kernel.Beat) {
+func (p *plugin) Beat(_ time.Time, to string, b *kernel.Heartbeat) {
 	for _, n := range p.notices {
 		if !n.knownBy[to] {
 			n.knownBy[to] = true
-			b.Marks = append(b.Marks, n.mark)
+			b.LeaveNotices = append(b.LeaveNotices, n.mark)
 		}
 	}
 }
 
 // Dump returns the notices that are passed on.
 func (p *plugin) Dump(time.Time) (name string, state any) {
-	marks := make([]kernel.Mark, len(p.notices))
+	marks := make([]kernel.LeaveNotice, len(p.notices))
 	for i, n := range p.notices {
 		marks[i] = n.mark
 	}
 	return "mark", marks
 }
 
-func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
-	for _, m := range b.Marks {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat, out *kernel.Output) {
+	for _, m := range b.LeaveNotices {
 		n := p.find(m)
 		if n == nil {
 			n = p.add(now, m)
-			out.Raise(kernel.Marked{Mark: m})
-			out.Raise(kernel.Urgent{})
+			out.Raise(kernel.InstanceLeaving{Notice: m})
+			out.Raise(kernel.HeartbeatNow{})
 		}
 		n.knownBy[b.Node] = true
 	}
 }
 
-func (p *plugin) find(m kernel.Mark) *notice {
+func (p *plugin) find(m kernel.LeaveNotice) *notice {
 	for _, n := range p.notices {
 		if n.mark == m {
 			return n
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (p *plugin) add(now time.Time, m kernel.Mark) *notice {
+func (p *plugin) add(now time.Time, m kernel.LeaveNotice) *notice {
 	n := &notice{mark: m, learnedAt: now, knownBy: map[string]bool{}}
 	p.notices = append(p.notices, n)
 	if len(p.notices) > maxNotices {
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -22,7 +22,7 @@
 			for b.Loop() {
 				f.now = f.now.Add(time.Millisecond)
 				msg := f.wire(from, to, from.Beat(f.now, to.Self().Name), callBytes)
-				to.Step(f.now, kernel.BeatReceived{Beat: msg})
+				to.Step(f.now, kernel.HeartbeatReceived{Heartbeat: msg})
 			}
 		})
 	}
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -118,10 +118,10 @@
 func (d *digests) due(now time.Time, s *storedDigest, created *kernel.Digest, pause time.Duration) bool {
 	age := now.Sub(s.at)
 	switch {
-	case age >= max(digestRefresh, pause) || !s.digest.SameNodes(created):
+	case age >= max(digestRefresh, pause) || !s.digest.SameInstances(created):
 		return true
 	default:
-		return age >= pause && !s.digest.Near(created)
+		return age >= pause && !s.digest.SimilarTo(created)
 	}
 }
 
@@ -136,7 +136,7 @@
 		from.digestVersions[d.Scope] = v
 		if p.digests.receive(now, d) {
 			p.applyDigest(now, d, out)
-			out.Raise(kernel.Digested{Digest: d})
+			out.Raise(kernel.DigestReceived{Digest: d})
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		return false
 	}
 	recent := now.Sub(s.at) < digestRefresh+digestInterval
-	if s.digest.Origin != received.Origin && recent && s.digest.Near(&received) {
+	if s.digest.Origin != received.Origin && recent && s.digest.SimilarTo(&received) {
 		return false
 	}
 	*s = storedDigest{digest: received, at: now}
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -59,7 +59,7 @@
 	f.start(f.list[2])
 	f.run(time.Second)
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0002"))
-	f.step(f.nodes["node-0000"], kernel.BeatReceived{Beat: late})
+	f.step(f.nodes["node-0000"], kernel.HeartbeatReceived{Heartbeat: late})
 	f.run(kernel.DefaultTick)
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0002"))
 }
@@ -73,7 +73,7 @@
 	service := f.list[layered.nodes+7].Service
 	seen, _ := f.nodes["node-0000"].View().Pools[service].Endpoint(endpoint)
 	f.step(f.nodes["node-0005"], kernel.Drain{})
-	f.step(f.nodes[seen.Home], kernel.LoadReported{Endpoint: endpoint, Leaving: true})
+	f.step(f.nodes[seen.Owner], kernel.LoadReported{Endpoint: endpoint, Leaving: true})
 	f.run(1500 * time.Millisecond)
 	for _, name := range f.names {
 		v := f.nodes[name].View()
@@ -85,7 +85,7 @@
 		}
 	}
 	// Leaving is sticky: reports, digests and the list without it do not undo it.
-	f.step(f.nodes[seen.Home], kernel.LoadReported{Endpoint: endpoint})
+	f.step(f.nodes[seen.Owner], kernel.LoadReported{Endpoint: endpoint})
 	f.run(15 * time.Second)
 	for _, name := range f.names {
 		e, ok := f.nodes[name].View().Pools[service].Endpoint(endpoint)
@@ -108,13 +108,13 @@
 	require.False(t, n.View().Fresh(f.now), "the view is stale before the first event")
 	f.run(kernel.DefaultTick)
 	v := n.View()
-	require.True(t, v.Doubtful)
+	require.True(t, v.Resyncing)
 	require.Empty(t, v.Probes, "it owns no endpoint")
 	require.Len(t, v.Nodes, small.nodes, "no node is dead")
 	require.Equal(t, 1, n.rereads)
 	f.blocked = func(string, string) bool { return false }
 	f.run(1500 * time.Millisecond)
-	require.False(t, n.View().Doubtful)
+	require.False(t, n.View().Resyncing)
 	require.Equal(t, kernel.Live, f.state("node-0000", "node-0001"))
 }
 
@@ -145,7 +145,7 @@
 		v := f.nodes[name].View()
 		for service, pool := range v.Pools {
 			for i, e := range pool.Endpoints {
-				require.Equal(t, first.Pools[service].Endpoints[i].Home, e.Home, "%s at %s", e.Name, name)
+				require.Equal(t, first.Pools[service].Endpoints[i].Owner, e.Owner, "%s at %s", e.Name, name)
 			}
 		}
 	}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -165,7 +165,7 @@
 func (f *fakeFleet) step(n *fakeNode, ev kernel.Event) {
 	for _, a := range n.Step(f.now, ev) {
 		switch a := a.(type) {
-		case kernel.SendBeat:
+		case kernel.SendHeartbeat:
 			f.beat(n, a.To.Name)
 		case kernel.Reread:
 			n.rereads++
@@ -179,17 +179,17 @@
 	n, name := f.nodes[to], from.Self().Name
 	msg := f.wire(from, n, from.Beat(f.now, to), callBytes)
 	if n == nil || n.down || n.paused || f.blocked(name, to) {
-		f.step(from, kernel.BeatFailed{Node: to})
+		f.step(from, kernel.HeartbeatFailed{Node: to})
 		return
 	}
-	f.step(n, kernel.BeatReceived{Beat: msg})
+	f.step(n, kernel.HeartbeatReceived{Heartbeat: msg})
 	reply := f.wire(n, from, n.Beat(f.now, name), peer.ReplyBytes[*peerpb.Heartbeat])
-	f.step(from, kernel.BeatReceived{Beat: reply})
+	f.step(from, kernel.HeartbeatReceived{Heartbeat: reply})
 }
 
 func callBytes(m *peerpb.Heartbeat) int { return peer.RequestBytes(peer.CallBeat, m) }
 
-func (f *fakeFleet) wire(from, to *fakeNode, b *kernel.Beat, size func(*peerpb.Heartbeat) int) *kernel.Beat {
+func (f *fakeFleet) wire(from, to *fakeNode, b *kernel.Heartbeat, size func(*peerpb.Heartbeat) int) *kernel.Heartbeat {
 	encoded := peer.EncodeBeat(b)
 	data, err := proto.Marshal(encoded)
 	if err != nil {
@@ -266,10 +266,10 @@
 	e := f.list[f.size.nodes+f.rand.IntN(f.size.endpoints)]
 	v := f.nodes[f.names[0]].View()
 	seen, ok := v.Pools[e.Service].Endpoint(e.Name)
-	if !ok || f.nodes[seen.Home] == nil {
+	if !ok || f.nodes[seen.Owner] == nil {
 		return
 	}
-	g := f.nodes[seen.Home].gate
+	g := f.nodes[seen.Owner].gate
 	f.permits++
 	g.Admit(f.now, gate.Ask{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
 	f.releases = append(f.releases, release{at: until, gate: g, id: f.permits})
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -117,7 +117,7 @@
 		m.listLeaving = i.Leaving
 		if becameLeaving {
 			m.leave(now)
-			out.Raise(kernel.Marked{Mark: kernel.Mark{
+			out.Raise(kernel.InstanceLeaving{Notice: kernel.LeaveNotice{
 				Name: i.Name, Kind: kernel.KindNode, Incarnation: m.node.Incarnation,
 			}})
 		}
@@ -137,7 +137,7 @@
 		p.self.Peer = i.Peer
 	}
 	if i.Leaving && !p.leaving {
-		out.Raise(kernel.Marked{Mark: kernel.Mark{
+		out.Raise(kernel.InstanceLeaving{Notice: kernel.LeaveNotice{
 			Name: p.self.Name, Kind: kernel.KindNode, Incarnation: p.self.Incarnation,
 		}})
 	}
@@ -153,7 +153,7 @@
 }
 
 // receive applies a heartbeat.
-func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat, out *kernel.Output) {
 	if b.Node == "" || b.Node == p.self.Name {
 		return
 	}
@@ -164,7 +164,7 @@
 	m.lastBeat = now
 	m.failures = 0
 	m.retryPause = 0
-	m.listless = b.Listless
+	m.listless = b.NoList
 	if m.node.Active != b.Active {
 		m.node.Active = b.Active
 		p.nodes = nil
@@ -188,7 +188,7 @@
 // under the same name. Applied as the newest state, it would restore the old
 // incarnation with its leave notices and addresses. The incarnation that started
 // last wins.
-func (p *plugin) sender(now time.Time, b *kernel.Beat, out *kernel.Output) *member {
+func (p *plugin) sender(now time.Time, b *kernel.Heartbeat, out *kernel.Output) *member {
 	m := p.members[b.Node]
 	if m == nil && b.Intro == nil {
 		return nil
@@ -213,7 +213,7 @@
 // acceptIncarnation switches a member to the incarnation of a heartbeat, and
 // reports whether it did: if none was known, the known one is unreachable, or the
 // Intro says that the new one started later.
-func (p *plugin) acceptIncarnation(now time.Time, m *member, b *kernel.Beat) bool {
+func (p *plugin) acceptIncarnation(now time.Time, m *member, b *kernel.Heartbeat) bool {
 	started := now
 	if b.Intro != nil {
 		started = now.Add(-b.Intro.Age)
@@ -249,7 +249,7 @@
 
 // mark applies a leave notice. A notice without an incarnation is for the one that
 // the platform lists.
-func (p *plugin) mark(now time.Time, mark kernel.Mark, out *kernel.Output) {
+func (p *plugin) mark(now time.Time, mark kernel.LeaveNotice, out *kernel.Output) {
 	if mark.Kind != kernel.KindNode {
 		return
 	}
@@ -314,7 +314,7 @@
 		return kernel.Dead
 	case m.leaving || m.observed == kernel.Leaving:
 		return kernel.Leaving
-	case m.observed == kernel.Live && (m.listless || m.damper.Quiet(now)):
+	case m.observed == kernel.Live && (m.listless || m.damper.HeldDown(now)):
 		return kernel.Suspect
 	default:
 		return m.observed
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -125,13 +125,13 @@
 		p.list(now, ev.List, out)
 	case kernel.Accepted:
 		p.accept(ev, out)
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat, out)
-	case kernel.BeatFailed:
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat, out)
+	case kernel.HeartbeatFailed:
 		p.fail(now, ev.Node, out)
-	case kernel.Marked:
-		p.mark(now, ev.Mark, out)
-	case kernel.Urgent:
+	case kernel.InstanceLeaving:
+		p.mark(now, ev.Notice, out)
+	case kernel.HeartbeatNow:
 		p.urgent = true
 	case kernel.Tick:
 		p.tick(now, out)
@@ -148,7 +148,7 @@
 	v.Self = p.selfNode(now)
 	v.Watcher = p.watcher()
 	v.Fleet = p.expectedNodes()
-	v.Doubtful = p.resync.active
+	v.Resyncing = p.resync.active
 	v.Cell = p.topology().cell
 	v.Scopes = p.topology().scopes
 	v.Leaving = v.Leaving || p.leaving
@@ -157,24 +157,24 @@
 // Beat sets the heartbeat's sequence number and the sender's state, and adds the
 // digests for the receiver. It adds an Intro if the receiver may not know the
 // sender.
-func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
+func (p *plugin) Beat(now time.Time, to string, b *kernel.Heartbeat) {
 	p.serial++
 	b.Serial = p.serial
 	b.Active = p.config.Active()
 	b.Leaving = b.Leaving || p.leaving
-	b.Listless = !p.hasList
+	b.NoList = !p.hasList
 	m := p.members[to]
 	if m == nil {
 		b.Intro = p.intro(now)
 		return
 	}
-	b.Near = p.inCell(m)
+	b.SameCell = p.inCell(m)
 	if m.introduced != m.node.Incarnation || m.node.Incarnation == 0 {
 		m.introduced = m.node.Incarnation
 		b.Intro = p.intro(now)
 	}
 	b.Digests = p.digestsFor(m)
-	b.Ends = p.isLeaf(m)
+	b.NoForward = p.isLeaf(m)
 }
 
 // Summarize adds the nodes of the cell that differ from the instance list.
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -42,7 +42,7 @@
 			return
 		}
 		m.nextBeat = p.due(now, m)
-		out.Do(kernel.SendBeat{To: m.node})
+		out.Do(kernel.SendHeartbeat{To: m.node})
 	}
 	p.urgent = false
 }
@@ -107,7 +107,7 @@
 	}
 	p.resync = resync{active: true, since: now, received: map[string]bool{}}
 	p.urgent = true
-	out.Raise(kernel.Woken{Gap: gap})
+	out.Raise(kernel.Resumed{Gap: gap})
 	out.Do(kernel.Reread{})
 	p.changed(out)
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -136,7 +136,7 @@
 	for _, name := range services(v) {
 		for _, e := range v.Pools[name].Endpoints {
 			i.Endpoints = append(i.Endpoints, Instance{
-				Name: e.Name, Zone: e.Zone, Service: e.Service, State: e.State, Home: e.Home,
+				Name: e.Name, Zone: e.Zone, Service: e.Service, State: e.State, Home: e.Owner,
 				Requests: e.Load.Requests, Tokens: e.Load.Tokens,
 			})
 		}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -47,7 +47,7 @@
 			Live:  1,
 			Total: kernel.Load{Requests: 3},
 			Endpoints: []kernel.Endpoint{
-				{Name: "w1", Service: "engines", Home: "n1", Load: kernel.Load{Requests: 3, Tokens: 50}},
+				{Name: "w1", Service: "engines", Owner: "n1", Load: kernel.Load{Requests: 3, Tokens: 50}},
 				{Name: "w2", Service: "engines", State: kernel.Suspect},
 			},
 		}},
@@ -241,7 +241,7 @@
 func TestTraceRecordsDecisions(t *testing.T) {
 	h, traces := newHandler(view(), token)
 	req := route.Request{ID: 0xabc, Account: "a1", Chat: "a1/x", Service: "engines", Hint: hint.Hint{Endpoint: "w1", Tokens: 9}}
-	e := kernel.Endpoint{Name: "w1", Home: "n1", Load: kernel.Load{Requests: 3}}
+	e := kernel.Endpoint{Name: "w1", Owner: "n1", Load: kernel.Load{Requests: 3}}
 	record := func(after time.Duration, s route.Step, o route.Outcome) {
 		traces.Record(dispatch.Record{Time: now.Add(after), Request: req, Step: s, Outcome: o, Attempt: "f1"})
 	}
@@ -301,7 +301,7 @@
 	traces := operator.NewTraces(operator.TracesConfig{})
 	m := newMetrics(view())
 	recorders := dispatch.Recorders{traces, m, operator.Log{}}
-	e := kernel.Endpoint{Name: "w1", Home: "n1"}
+	e := kernel.Endpoint{Name: "w1", Owner: "n1"}
 	b.ReportAllocs()
 	for id := uint64(0); b.Loop(); id++ {
 		rec := dispatch.Record{
--- a/internal/operator/trace.go
+++ b/internal/operator/trace.go
@@ -159,7 +159,7 @@
 	e := r.Step.Endpoint
 	step := TraceStep{
 		AfterMS: milliseconds(r.Time.Sub(t.Began)),
-		Step:    stepNames[r.Step.Kind], Endpoint: e.Name, Owner: e.Home,
+		Step:    stepNames[r.Step.Kind], Endpoint: e.Name, Owner: e.Owner,
 		Reason: string(r.Step.Reason),
 	}
 	if e.Name != "" {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -78,7 +78,7 @@
 }
 
 // Beat sends a heartbeat and returns the peer's own.
-func (c *Client) Beat(ctx context.Context, to netip.AddrPort, b *kernel.Beat) (*kernel.Beat, error) {
+func (c *Client) Beat(ctx context.Context, to netip.AddrPort, b *kernel.Heartbeat) (*kernel.Heartbeat, error) {
 	reply, err := c.rpcClient(ctx, to).Beat(ctx, EncodeBeat(b))
 	if err != nil {
 		return nil, unreachable(to, err)
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -9,7 +9,7 @@
 )
 
 // EncodeBeat converts a heartbeat to its wire message.
-func EncodeBeat(b *kernel.Beat) *peerpb.Heartbeat {
+func EncodeBeat(b *kernel.Heartbeat) *peerpb.Heartbeat {
 	return &peerpb.Heartbeat{
 		Node:        b.Node,
 		Incarnation: b.Incarnation,
@@ -17,13 +17,13 @@
 		Leaving:     b.Leaving,
 		Active:      uint32(max(b.Active, 0)),
 		Revision:    b.Revision,
-		Print:       b.Print,
+		Print:       b.Fingerprint,
 		Loads:       mapSlice(b.Loads, encodeLoad),
-		Marks:       mapSlice(b.Marks, encodeMark),
+		Marks:       mapSlice(b.LeaveNotices, encodeMark),
 		Intro:       encodeOptional(b.Intro, encodeIntro),
 		ListVersion: b.ListVersion,
-		Listless:    b.Listless,
-		News:        encodeOptional(b.News, encodeNews),
+		Listless:    b.NoList,
+		News:        encodeOptional(b.ListDelta, encodeNews),
 		Digests:     mapSlice(b.Digests, encodeDigest),
 		Demands:     mapSlice(b.Demands, encodeDemand),
 		Models:      mapSlice(b.Models, encodeModelDemand),
@@ -32,25 +32,25 @@
 }
 
 // DecodeBeat converts a wire message to a heartbeat.
-func DecodeBeat(b *peerpb.Heartbeat) *kernel.Beat {
-	return &kernel.Beat{
-		Node:        b.Node,
-		Incarnation: b.Incarnation,
-		Serial:      b.Serial,
-		Leaving:     b.Leaving,
-		Active:      int(b.Active),
-		Revision:    b.Revision,
-		Print:       b.Print,
-		Loads:       mapSlice(b.Loads, decodeLoad),
-		Marks:       mapSlice(b.Marks, decodeMark),
-		Intro:       decodeOptional(b.Intro, decodeIntro),
-		ListVersion: b.ListVersion,
-		Listless:    b.Listless,
-		News:        decodeOptional(b.News, decodeNews),
-		Digests:     mapSlice(b.Digests, decodeDigest),
-		Demands:     mapSlice(b.Demands, decodeDemand),
-		Models:      mapSlice(b.Models, decodeModelDemand),
-		Suspects:    mapSlice(b.Suspects, decodeSuspect),
+func DecodeBeat(b *peerpb.Heartbeat) *kernel.Heartbeat {
+	return &kernel.Heartbeat{
+		Node:         b.Node,
+		Incarnation:  b.Incarnation,
+		Serial:       b.Serial,
+		Leaving:      b.Leaving,
+		Active:       int(b.Active),
+		Revision:     b.Revision,
+		Fingerprint:  b.Print,
+		Loads:        mapSlice(b.Loads, decodeLoad),
+		LeaveNotices: mapSlice(b.Marks, decodeMark),
+		Intro:        decodeOptional(b.Intro, decodeIntro),
+		ListVersion:  b.ListVersion,
+		NoList:       b.Listless,
+		ListDelta:    decodeOptional(b.News, decodeNews),
+		Digests:      mapSlice(b.Digests, decodeDigest),
+		Demands:      mapSlice(b.Demands, decodeDemand),
+		Models:       mapSlice(b.Models, decodeModelDemand),
+		Suspects:     mapSlice(b.Suspects, decodeSuspect),
 	}
 }
 
--- a/internal/peer/codec_fleet.go
+++ b/internal/peer/codec_fleet.go
@@ -41,15 +41,15 @@
 	return kernel.Intro{Instance: decodeInstance(i.GetInstance()), Age: duration(i.GetAgeMs())}
 }
 
-func encodeMark(m kernel.Mark) *peerpb.Mark {
+func encodeMark(m kernel.LeaveNotice) *peerpb.Mark {
 	return &peerpb.Mark{Name: m.Name, Kind: string(m.Kind), Incarnation: m.Incarnation}
 }
 
-func decodeMark(m *peerpb.Mark) kernel.Mark {
-	return kernel.Mark{Name: m.Name, Kind: kernel.InstanceKind(m.Kind), Incarnation: m.Incarnation}
+func decodeMark(m *peerpb.Mark) kernel.LeaveNotice {
+	return kernel.LeaveNotice{Name: m.Name, Kind: kernel.InstanceKind(m.Kind), Incarnation: m.Incarnation}
 }
 
-func encodeNews(n kernel.News) *peerpb.News {
+func encodeNews(n kernel.ListDelta) *peerpb.News {
 	return &peerpb.News{
 		Base:    n.Base,
 		Version: n.Version,
@@ -58,8 +58,8 @@
 	}
 }
 
-func decodeNews(n *peerpb.News) kernel.News {
-	return kernel.News{
+func decodeNews(n *peerpb.News) kernel.ListDelta {
+	return kernel.ListDelta{
 		Base:    n.Base,
 		Version: n.Version,
 		Changed: mapSlice(n.Changed, decodeInstance),
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -48,8 +48,8 @@
 // a newer or broken version must not crash the node.
 func FuzzHeartbeat(f *testing.F) {
 	for _, data := range encoded(f,
-		peer.EncodeBeat(&kernel.Beat{Node: "n2", Incarnation: 7, Serial: 1, Revision: 9, Loads: []kernel.EndpointLoad{{Endpoint: "w1"}}}),
-		peer.EncodeBeat(&kernel.Beat{Node: "n2", Leaving: true, Suspects: []kernel.Suspicion{{Print: 1, Endpoints: []string{"w1"}, Age: time.Second}}}),
+		peer.EncodeBeat(&kernel.Heartbeat{Node: "n2", Incarnation: 7, Serial: 1, Revision: 9, Loads: []kernel.EndpointLoad{{Endpoint: "w1"}}}),
+		peer.EncodeBeat(&kernel.Heartbeat{Node: "n2", Leaving: true, Suspects: []kernel.Suspicion{{Fingerprint: 1, Endpoints: []string{"w1"}, Age: time.Second}}}),
 	) {
 		f.Add(data)
 	}
@@ -60,7 +60,7 @@
 		}
 		k, _, now := newKernel()
 		for i := range 3 {
-			k.Step(now.Add(time.Duration(i)*time.Second), kernel.BeatReceived{Beat: peer.DecodeBeat(&m)})
+			k.Step(now.Add(time.Duration(i)*time.Second), kernel.HeartbeatReceived{Heartbeat: peer.DecodeBeat(&m)})
 			k.Step(now.Add(time.Duration(i)*time.Second), kernel.Tick{})
 		}
 		_ = k.View()
--- a/internal/peer/key_test.go
+++ b/internal/peer/key_test.go
@@ -26,9 +26,9 @@
 // beats counts the heartbeats that reach a node.
 type beats struct{ count atomic.Int32 }
 
-func (b *beats) Beat(context.Context, *kernel.Beat) *kernel.Beat {
+func (b *beats) Beat(context.Context, *kernel.Heartbeat) *kernel.Heartbeat {
 	b.count.Add(1)
-	return &kernel.Beat{Node: "n1"}
+	return &kernel.Heartbeat{Node: "n1"}
 }
 
 func secret(b byte) []byte { return bytes.Repeat([]byte{b}, peer.SecretSize) }
@@ -59,7 +59,7 @@
 	defer func() { require.NoError(t, c.Close()) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := c.Beat(ctx, to, &kernel.Beat{Node: "n2"})
+	_, err := c.Beat(ctx, to, &kernel.Heartbeat{Node: "n2"})
 	return err
 }
 
@@ -112,7 +112,7 @@
 			defer c.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			_, err = peerpb.NewDRPCPeerClient(c).Beat(ctx, peer.EncodeBeat(&kernel.Beat{Node: "n9"}))
+			_, err = peerpb.NewDRPCPeerClient(c).Beat(ctx, peer.EncodeBeat(&kernel.Heartbeat{Node: "n9"}))
 			require.Error(t, err)
 		})
 	}
@@ -169,7 +169,7 @@
 	defer c.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		_, err := c.Beat(context.Background(), addr, &kernel.Beat{Node: "n2"})
+		_, err := c.Beat(context.Background(), addr, &kernel.Heartbeat{Node: "n2"})
 		require.NoError(b, err)
 	}
 }
--- a/internal/peer/late_test.go
+++ b/internal/peer/late_test.go
@@ -39,20 +39,20 @@
 	return c, err
 }
 
-func (b *lateBeats) Beat(context.Context, *kernel.Beat) *kernel.Beat {
+func (b *lateBeats) Beat(context.Context, *kernel.Heartbeat) *kernel.Heartbeat {
 	if b.count.Add(1)%2 == 0 {
 		b.arrived <- struct{}{}
 		<-b.release
 	}
-	return &kernel.Beat{Node: "n1"}
+	return &kernel.Heartbeat{Node: "n1"}
 }
 
-func (b *promptBeats) Beat(context.Context, *kernel.Beat) *kernel.Beat {
+func (b *promptBeats) Beat(context.Context, *kernel.Heartbeat) *kernel.Heartbeat {
 	select {
 	case b.arrived <- struct{}{}:
 	default:
 	}
-	return &kernel.Beat{Node: "n1"}
+	return &kernel.Heartbeat{Node: "n1"}
 }
 
 // pair returns a client, the address of a server that replies to heartbeats, and a
@@ -84,9 +84,9 @@
 			cancel()
 		}()
 		// Either the reply or the cancellation may be first.
-		_, _ = c.Beat(ctx, addr, &kernel.Beat{Node: "n2"})
+		_, _ = c.Beat(ctx, addr, &kernel.Heartbeat{Node: "n2"})
 		<-ctx.Done()
-		_, err := c.Beat(t.Context(), addr, &kernel.Beat{Node: "n2"})
+		_, err := c.Beat(t.Context(), addr, &kernel.Heartbeat{Node: "n2"})
 		require.NoError(t, err)
 		select {
 		case <-b.arrived:
@@ -104,14 +104,14 @@
 	c, addr, listening := pair(t, b)
 	const rounds = 8
 	for range rounds {
-		_, err := c.Beat(t.Context(), addr, &kernel.Beat{Node: "n2"})
+		_, err := c.Beat(t.Context(), addr, &kernel.Heartbeat{Node: "n2"})
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			<-b.arrived
 			cancel()
 		}()
-		_, err = c.Beat(ctx, addr, &kernel.Beat{Node: "n2"})
+		_, err = c.Beat(ctx, addr, &kernel.Heartbeat{Node: "n2"})
 		require.ErrorIs(t, err, peer.ErrUnreachable)
 		b.release <- struct{}{}
 	}
--- a/internal/peer/lease.go
+++ b/internal/peer/lease.go
@@ -51,9 +51,9 @@
 }
 
 func encodeSuspect(s kernel.Suspicion) *peerpb.Suspect {
-	return &peerpb.Suspect{Print: s.Print, Endpoints: s.Endpoints, AgeMs: uint32(max(s.Age.Milliseconds(), 0))}
+	return &peerpb.Suspect{Print: s.Fingerprint, Endpoints: s.Endpoints, AgeMs: uint32(max(s.Age.Milliseconds(), 0))}
 }
 
 func decodeSuspect(s *peerpb.Suspect) kernel.Suspicion {
-	return kernel.Suspicion{Print: s.Print, Endpoints: s.Endpoints, Age: time.Duration(s.AgeMs) * time.Millisecond}
+	return kernel.Suspicion{Fingerprint: s.Print, Endpoints: s.Endpoints, Age: time.Duration(s.AgeMs) * time.Millisecond}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -29,7 +29,7 @@
 	// Beats answers heartbeats.
 	Beats interface {
 		// Beat applies a peer's heartbeat and returns the node's own as the reply.
-		Beat(ctx context.Context, b *kernel.Beat) *kernel.Beat
+		Beat(ctx context.Context, b *kernel.Heartbeat) *kernel.Heartbeat
 	}
 
 	// Permits grants permits.
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -76,7 +76,7 @@
 // Checks that the sizes that replays use for calls are those on a real connection.
 func TestSizesOfCalls(t *testing.T) {
 	client, to, asked, answered := newCountedPair(t)
-	beat := &kernel.Beat{Node: "n1", Serial: 1}
+	beat := &kernel.Heartbeat{Node: "n1", Serial: 1}
 	// A stream number takes one byte below 128 and otherwise two, which is what the
 	// sizes assume. A side omits the record that ends a call if the other side has
 	// ended it first; the sizes always include it.
--- a/internal/peer/values_test.go
+++ b/internal/peer/values_test.go
@@ -46,12 +46,12 @@
 }
 
 func TestBeatEncodesRevisionAndFingerprint(t *testing.T) {
-	b := &kernel.Beat{Node: "n1", Revision: 7, Print: 0xabc}
+	b := &kernel.Heartbeat{Node: "n1", Revision: 7, Fingerprint: 0xabc}
 	data, err := proto.Marshal(peer.EncodeBeat(b))
 	require.NoError(t, err)
 	var wire peerpb.Heartbeat
 	require.NoError(t, proto.Unmarshal(data, &wire))
 	got := peer.DecodeBeat(&wire)
 	require.Equal(t, b.Revision, got.Revision)
-	require.Equal(t, b.Print, got.Print)
+	require.Equal(t, b.Fingerprint, got.Fingerprint)
 }
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -96,9 +96,9 @@
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
 	case Died:
-		p.merge(now, kernel.Suspicion{Print: ev.Print, Endpoints: []string{ev.Endpoint}}, out)
-	case kernel.BeatReceived:
-		for _, s := range ev.Beat.Suspects {
+		p.merge(now, kernel.Suspicion{Fingerprint: ev.Print, Endpoints: []string{ev.Endpoint}}, out)
+	case kernel.HeartbeatReceived:
+		for _, s := range ev.Heartbeat.Suspects {
 			p.merge(now, s, out)
 		}
 	case kernel.Tick:
@@ -120,7 +120,7 @@
 // Beat sends what was learned within the gossip time, the most suspected first.
 // Every node passes on what it learned, so that it also reaches nodes that exchange
 // no heartbeats with the source.
-func (p *plugin) Beat(now time.Time, _ string, b *kernel.Beat) {
+func (p *plugin) Beat(now time.Time, _ string, b *kernel.Heartbeat) {
 	recent := p.sortedEntries(func(e entry) bool { return now.Sub(e.learnedAt) < p.config.GossipTime })
 	for _, e := range recent[:min(len(recent), p.config.MaxPerHeartbeat)] {
 		s := e.suspect
@@ -146,9 +146,9 @@
 	if s.Age < 0 || s.Age >= p.config.TTL || len(s.Endpoints) == 0 {
 		return
 	}
-	e, known := p.entries[s.Print]
+	e, known := p.entries[s.Fingerprint]
 	if !known {
-		e.suspect.Print = s.Print
+		e.suspect.Fingerprint = s.Fingerprint
 		p.evict()
 	}
 	merged, changed := e.suspect.Merge(s.Endpoints)
@@ -160,7 +160,7 @@
 		e.lastDeath = last
 	}
 	e.learnedAt = now
-	p.entries[s.Print] = e
+	p.entries[s.Fingerprint] = e
 	out.Changed()
 }
 
@@ -179,7 +179,7 @@
 		return
 	}
 	all := p.sortedEntries(func(entry) bool { return true })
-	delete(p.entries, all[len(all)-1].suspect.Print)
+	delete(p.entries, all[len(all)-1].suspect.Fingerprint)
 }
 
 // sortedEntries returns the entries that f keeps: most endpoints first, then newest.
@@ -194,7 +194,7 @@
 		return cmp.Or(
 			len(b.suspect.Endpoints)-len(a.suspect.Endpoints),
 			b.lastDeath.Compare(a.lastDeath),
-			cmp.Compare(a.suspect.Print, b.suspect.Print),
+			cmp.Compare(a.suspect.Fingerprint, b.suspect.Fingerprint),
 		)
 	})
 	return list
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -20,7 +20,7 @@
 
 // sendHeartbeat delivers one heartbeat from one kernel to another.
 func sendHeartbeat(now time.Time, from, to *kernel.Kernel) {
-	to.Step(now, kernel.BeatReceived{Beat: from.Beat(now, to.Self().Name)})
+	to.Step(now, kernel.HeartbeatReceived{Heartbeat: from.Beat(now, to.Self().Name)})
 }
 
 // Guards against a request that crashes one engine after another, each at a
@@ -74,7 +74,7 @@
 	require.True(t, k.View().Suspects[1].Isolated(), "the least suspected are evicted first")
 	beat := k.Beat(start, "b")
 	require.Len(t, beat.Suspects, 5)
-	require.EqualValues(t, 1, beat.Suspects[0].Print)
+	require.EqualValues(t, 1, beat.Suspects[0].Fingerprint)
 	require.Empty(t, k.Beat(start.Add(poison.DefaultGossipTime+time.Second), "b").Suspects)
 }
 
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -38,8 +38,8 @@
 // Beat adds the loads of the endpoints that the node owns to a heartbeat to a peer
 // in its cell. It leaves out those that have not changed since the last heartbeat
 // to that peer.
-func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
-	if !b.Near {
+func (p *plugin) Beat(now time.Time, to string, b *kernel.Heartbeat) {
+	if !b.SameCell {
 		return
 	}
 	last := p.sentLoads[to]
@@ -87,14 +87,14 @@
 }
 
 // receive applies the loads that an owner reports.
-func (p *plugin) receive(now time.Time, b *kernel.Beat) {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat) {
 	if len(b.Loads) == 0 {
 		return
 	}
 	sent := loadsByName(p.config.Sent())
 	for _, l := range b.Loads {
 		m := p.members[l.Endpoint]
-		if m == nil || m.endpoint.Home == p.self.Name {
+		if m == nil || m.endpoint.Owner == p.self.Name {
 			continue
 		}
 		m.load, m.loadAt, m.sentBase, m.ownCount = l.Load, now, sent[l.Endpoint], false
@@ -150,7 +150,7 @@
 func (p *plugin) applyOwnCounts(now time.Time) {
 	for _, own := range p.config.Own() {
 		m := p.members[own.Endpoint]
-		if m == nil || m.endpoint.Home != p.self.Name {
+		if m == nil || m.endpoint.Owner != p.self.Name {
 			continue
 		}
 		m.load, m.loadAt, m.ownCount = own.Load, now, true
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -78,7 +78,7 @@
 		return kernel.Dead
 	case m.leaving || state == kernel.Leaving:
 		return kernel.Leaving
-	case m.damper.Quiet(now):
+	case m.damper.HeldDown(now):
 		return kernel.Suspect
 	default:
 		return state
@@ -92,14 +92,14 @@
 	}
 	m.leaving = true
 	m.leftAt = now
-	out.Raise(kernel.Marked{Mark: kernel.Mark{
+	out.Raise(kernel.InstanceLeaving{Notice: kernel.LeaveNotice{
 		Name: m.endpoint.Name, Kind: kernel.KindEndpoint, Incarnation: incarnation,
 	}})
 	out.Changed()
 }
 
 // mark applies a leave notice from another node.
-func (p *plugin) mark(now time.Time, mark kernel.Mark, out *kernel.Output) {
+func (p *plugin) mark(now time.Time, mark kernel.LeaveNotice, out *kernel.Output) {
 	m := p.members[mark.Name]
 	if mark.Kind != kernel.KindEndpoint || m == nil || m.leaving {
 		return
@@ -176,7 +176,7 @@
 			m.observed = kernel.Live
 			m.failures = 0
 		}
-		if m.observed == kernel.Dead && m.endpoint.Home != p.self.Name && now.Sub(m.lastFailure) >= markHold {
+		if m.observed == kernel.Dead && m.endpoint.Owner != p.self.Name && now.Sub(m.lastFailure) >= markHold {
 			m.observed = kernel.Live
 			m.failures = 0
 		}
--- a/internal/pool/owner.go
+++ b/internal/pool/owner.go
@@ -97,8 +97,8 @@
 		if len(candidates) == 0 {
 			candidates = o.nodes
 		}
-		if home := Home(*e, candidates); home != e.Home {
-			e.Home = home
+		if home := Home(*e, candidates); home != e.Owner {
+			e.Owner = home
 			m.ownerChanged = now
 			m.ownCount = false
 			// The previous owner may be dead and never correct its state.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -94,21 +94,21 @@
 		out.Changed()
 	case kernel.LoadReported:
 		p.report(now, ev, out)
-	case kernel.EndpointSpoke:
+	case kernel.EndpointNotice:
 		p.receiveNotice(now, ev, out)
-	case kernel.EndpointRests:
+	case kernel.EndpointBackoff:
 		p.receiveBackoff(now, ev, out)
 	case kernel.EndpointFailed:
 		p.fail(now, ev.Endpoint, out)
-	case kernel.Marked:
-		p.mark(now, ev.Mark, out)
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat)
-	case kernel.BeatFailed:
+	case kernel.InstanceLeaving:
+		p.mark(now, ev.Notice, out)
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat)
+	case kernel.HeartbeatFailed:
 		delete(p.sentLoads, ev.Node)
-	case kernel.Digested:
+	case kernel.DigestReceived:
 		p.receiveDigest(now, ev.Digest)
-	case kernel.Woken:
+	case kernel.Resumed:
 		p.resume(now)
 	case kernel.Tick:
 		p.age(now)
@@ -223,7 +223,7 @@
 	p.owners.assign(now, m, p.config.Settle)
 	p.applyNotice(now, m, v)
 	m.endpoint.State = m.state(now)
-	if m.endpoint.Home == p.self.Name {
+	if m.endpoint.Owner == p.self.Name {
 		p.owned = append(p.owned, m)
 		v.Probes = append(v.Probes, m.endpoint)
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	e := m.endpoint
-	e.Load = m.currentLoad(sent, e.Home == p.self.Name)
+	e.Load = m.currentLoad(sent, e.Owner == p.self.Name)
 	e.Reported = m.loadAt
 	near := p.inCell(e.Zone)
 	if !near {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -131,7 +131,7 @@
 	n := newNode(1)
 	peer := kernel.Instance{Name: "n2", Kind: kernel.KindNode, Zone: "z1"}
 	beat := func(requests int) {
-		n.Step(n.now, kernel.BeatReceived{Beat: &kernel.Beat{
+		n.Step(n.now, kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{
 			Node: "n2", Incarnation: 9, Intro: &kernel.Intro{Instance: peer, Age: time.Minute},
 			Loads: []kernel.EndpointLoad{{Endpoint: "e0", Load: kernel.Load{Requests: requests}}},
 		}})
@@ -178,22 +178,22 @@
 		Addr: netip.MustParseAddrPort("10.1.0.2:80"), Peer: netip.MustParseAddrPort("10.1.0.2:81"),
 	})
 	n.Step(n.now, kernel.Instances{Version: 2, List: n.list})
-	beat := &kernel.Beat{Node: "n2", Incarnation: 3, Serial: 1}
-	n.Step(n.now, kernel.BeatReceived{Beat: beat})
+	beat := &kernel.Heartbeat{Node: "n2", Incarnation: 3, Serial: 1}
+	n.Step(n.now, kernel.HeartbeatReceived{Heartbeat: beat})
 	n.run(kernel.DefaultTick)
 	name := ""
 	for _, e := range n.View().Pools["s"].Endpoints {
-		if e.Home == "n2" {
+		if e.Owner == "n2" {
 			name = e.Name
 		}
 	}
 	require.NotEmpty(t, name)
-	n.Step(n.now, kernel.BeatReceived{Beat: &kernel.Beat{
+	n.Step(n.now, kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{
 		Node: "n2", Incarnation: 3, Serial: 2, Loads: []kernel.EndpointLoad{{Endpoint: name, State: kernel.Dead}},
 	}})
 	n.run(kernel.DefaultTick)
 	require.Equal(t, kernel.Dead, n.state(name))
-	n.Step(n.now, kernel.BeatReceived{Beat: &kernel.Beat{Node: "n2", Incarnation: 3, Serial: 3, Leaving: true}})
+	n.Step(n.now, kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{Node: "n2", Incarnation: 3, Serial: 3, Leaving: true}})
 	n.run(kernel.DefaultTick)
 	n.Step(n.now, kernel.LoadReported{Endpoint: name})
 	n.run(kernel.DefaultTick)
@@ -205,7 +205,7 @@
 func TestEndpointLeavesUntilItRestarts(t *testing.T) {
 	// The owner is another node, which has not received the notice.
 	ownerReports := func(n *node, state kernel.State) {
-		n.Step(n.now, kernel.BeatReceived{Beat: &kernel.Beat{
+		n.Step(n.now, kernel.HeartbeatReceived{Heartbeat: &kernel.Heartbeat{
 			Node: "n2", Incarnation: 9, Serial: 1, Intro: &kernel.Intro{Instance: kernel.Instance{Name: "n2", Kind: kernel.KindNode, Zone: "z1"}, Age: time.Minute},
 			Loads: []kernel.EndpointLoad{{Endpoint: "e1", State: state}},
 		}})
@@ -223,8 +223,8 @@
 			n.run(time.Second)
 			n.Step(n.now, kernel.Instances{Version: 3, List: n.list})
 		}, want: kernel.Leaving},
-		{name: "the same incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 5}) }, want: kernel.Leaving},
-		{name: "another incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Incarnation: 6}) }, want: kernel.Live},
+		{name: "the same incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointNotice{Endpoint: "e1", Incarnation: 5}) }, want: kernel.Leaving},
+		{name: "another incarnation revokes it", at: func(n *node) { n.Step(n.now, kernel.EndpointNotice{Endpoint: "e1", Incarnation: 6}) }, want: kernel.Live},
 		{name: "another endpoint has its name", at: func(n *node) {
 			moved := append([]kernel.Instance(nil), n.list...)
 			moved[1].Addr = netip.MustParseAddrPort("10.9.9.9:80")
@@ -237,7 +237,7 @@
 			n.Step(n.now, kernel.Drain{})
 			ownerReports(n, kernel.Live)
 			n.run(kernel.DefaultTick)
-			n.Step(n.now, kernel.EndpointSpoke{Endpoint: "e1", Leaving: true, Incarnation: 5})
+			n.Step(n.now, kernel.EndpointNotice{Endpoint: "e1", Leaving: true, Incarnation: 5})
 			n.run(time.Second)
 			require.Equal(t, kernel.Leaving, n.state("e1"))
 			require.Len(t, n.View().Leavers, 1, "it is polled for a restart")
@@ -261,13 +261,13 @@
 	}
 	n := newNode(2)
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1", Incarnation: 1})
-	n.Step(n.now, kernel.EndpointRests{Endpoint: "e1", Until: n.now.Add(10 * time.Second)})
-	n.Step(n.now, kernel.EndpointRests{Endpoint: "e1", Until: n.now.Add(time.Second)})
+	n.Step(n.now, kernel.EndpointBackoff{Endpoint: "e1", Until: n.now.Add(10 * time.Second)})
+	n.Step(n.now, kernel.EndpointBackoff{Endpoint: "e1", Until: n.now.Add(time.Second)})
 	n.run(9 * time.Second)
 	require.False(t, takes(n))
 	n.run(time.Second)
 	require.True(t, takes(n))
-	n.Step(n.now, kernel.EndpointRests{Endpoint: "e1", Until: n.now.Add(time.Hour)})
+	n.Step(n.now, kernel.EndpointBackoff{Endpoint: "e1", Until: n.now.Add(time.Hour)})
 	n.run(kernel.DefaultTick)
 	require.False(t, takes(n))
 	n.Step(n.now, kernel.LoadReported{Endpoint: "e1", Incarnation: 2})
--- a/internal/pool/word.go
+++ b/internal/pool/word.go
@@ -57,13 +57,13 @@
 // otherIncarnation reports whether a notice is of another incarnation than the one
 // that the node, as the endpoint's owner, knows from its load reports.
 func (p *plugin) otherIncarnation(m *member, incarnation uint64) bool {
-	known := m.endpoint.Home == p.self.Name && m.incarnation != 0 && incarnation != 0
+	known := m.endpoint.Owner == p.self.Name && m.incarnation != 0 && incarnation != 0
 	return known && incarnation != m.incarnation
 }
 
 // receiveNotice applies an endpoint's notice of whether it is leaving. Once it is
 // leaving, only another incarnation can revoke that.
-func (p *plugin) receiveNotice(now time.Time, ev kernel.EndpointSpoke, out *kernel.Output) {
+func (p *plugin) receiveNotice(now time.Time, ev kernel.EndpointNotice, out *kernel.Output) {
 	m := p.members[ev.Endpoint]
 	if m == nil || p.otherIncarnation(m, ev.Incarnation) {
 		return
@@ -87,7 +87,7 @@
 
 // receiveBackoff applies an endpoint's request for backoff. A shorter backoff does
 // not end a longer one.
-func (p *plugin) receiveBackoff(now time.Time, ev kernel.EndpointRests, out *kernel.Output) {
+func (p *plugin) receiveBackoff(now time.Time, ev kernel.EndpointBackoff, out *kernel.Output) {
 	m := p.members[ev.Endpoint]
 	if m == nil {
 		return
@@ -101,17 +101,17 @@
 // applyNotice applies the notice of a listed endpoint, and keeps the notice from
 // expiring.
 func (p *plugin) applyNotice(now time.Time, m *member, v *kernel.View) {
-	m.endpoint.Rest = time.Time{}
+	m.endpoint.BackoffUntil = time.Time{}
 	n := p.findNotice(m)
 	if n == nil {
 		return
 	}
 	n.lastListed = now
 	if now.Before(n.backoffUntil) {
-		m.endpoint.Rest = n.backoffUntil
+		m.endpoint.BackoffUntil = n.backoffUntil
 	}
 	m.leaving = m.leaving || n.leaving
-	if n.leaving && m.endpoint.Home != p.self.Name {
+	if n.leaving && m.endpoint.Owner != p.self.Name {
 		v.Leavers = append(v.Leavers, m.endpoint)
 	}
 }
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -115,7 +115,7 @@
 
 func (n *node) act(a kernel.Action) {
 	switch a := a.(type) {
-	case kernel.SendBeat:
+	case kernel.SendHeartbeat:
 		n.sendHeartbeat(a.To.Name)
 	case kernel.FetchConfig:
 		n.fetch(a)
@@ -146,13 +146,13 @@
 	s.queue.after(s.delay, func() {
 		target := s.node(to)
 		if target == nil {
-			s.queue.after(heartbeatTimeout, func() { n.step(kernel.BeatFailed{Node: to}) })
+			s.queue.after(heartbeatTimeout, func() { n.step(kernel.HeartbeatFailed{Node: to}) })
 			return
 		}
-		target.step(kernel.BeatReceived{Beat: peer.DecodeBeat(wire)})
+		target.step(kernel.HeartbeatReceived{Heartbeat: peer.DecodeBeat(wire)})
 		reply := peer.EncodeBeat(target.kernel.Beat(s.time(), n.name))
 		target.traffic.heartbeats += peer.ReplyBytes(reply)
-		s.queue.after(s.delay, func() { n.step(kernel.BeatReceived{Beat: peer.DecodeBeat(reply)}) })
+		s.queue.after(s.delay, func() { n.step(kernel.HeartbeatReceived{Heartbeat: peer.DecodeBeat(reply)}) })
 	})
 }
 
@@ -176,7 +176,7 @@
 func (n *node) readUnowned(v *kernel.View) {
 	for _, service := range sortedNames(v.Pools) {
 		for _, e := range v.Pools[service].Endpoints {
-			if e.Home != v.Self.Name {
+			if e.Owner != v.Self.Name {
 				n.readLoad(e.Name)
 			}
 		}
--- a/internal/replay/permit.go
+++ b/internal/replay/permit.go
@@ -12,7 +12,7 @@
 	s, n := j.sim, j.node
 	s.attempts++
 	j.permit = s.attempts
-	owner := step.Endpoint.Home
+	owner := step.Endpoint.Owner
 	request := gate.Ask{
 		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Waited: step.Waited,
 		Lease: j.request.Deadline.Sub(s.time()) + leaseSlack,
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -31,7 +31,7 @@
 		// was last read from the platform.
 		newest      uint64
 		confirmedAt time.Time
-		delta       *kernel.News
+		delta       *kernel.ListDelta
 		deltaAt     time.Time
 		// peerVersion is the newest version each peer was sent or has reported.
 		peerVersion map[string]uint64
@@ -52,9 +52,9 @@
 	switch ev := ev.(type) {
 	case kernel.Instances:
 		p.applyReading(now, ev, out)
-	case kernel.BeatReceived:
-		p.receive(now, ev.Beat, out)
-	case kernel.BeatFailed:
+	case kernel.HeartbeatReceived:
+		p.receive(now, ev.Heartbeat, out)
+	case kernel.HeartbeatFailed:
 		delete(p.peerVersion, ev.Node)
 	}
 }
@@ -67,13 +67,13 @@
 
 // Beat adds the newest known version to a heartbeat and, once for each peer of
 // the node's cell, the newest delta.
-func (p *plugin) Beat(now time.Time, to string, b *kernel.Beat) {
+func (p *plugin) Beat(now time.Time, to string, b *kernel.Heartbeat) {
 	b.ListVersion = p.newest
-	if !b.Near || p.delta == nil || now.Sub(p.deltaAt) > deltaRetention || p.peerVersion[to] >= p.delta.Version {
+	if !b.SameCell || p.delta == nil || now.Sub(p.deltaAt) > deltaRetention || p.peerVersion[to] >= p.delta.Version {
 		return
 	}
 	p.peerVersion[to] = p.delta.Version
-	b.News = p.delta
+	b.ListDelta = p.delta
 }
 
 // Summarize adds the newest known version to a digest.
@@ -107,7 +107,7 @@
 	p.apply(ev.Version, out)
 }
 
-func (p *plugin) receive(now time.Time, b *kernel.Beat, out *kernel.Output) {
+func (p *plugin) receive(now time.Time, b *kernel.Heartbeat, out *kernel.Output) {
 	newest := b.ListVersion
 	for _, d := range b.Digests {
 		newest = max(newest, d.ListVersion)
@@ -116,7 +116,7 @@
 		p.newest = newest
 		out.Changed()
 	}
-	n := b.News
+	n := b.ListDelta
 	if n == nil || p.version == 0 || n.Base != p.version || n.Version <= p.version {
 		return
 	}
@@ -145,7 +145,7 @@
 
 // keepDelta keeps a delta to pass on. The first list is no delta: it is as large
 // as the fleet, and a peer without one reads it from the platform.
-func (p *plugin) keepDelta(now time.Time, n *kernel.News) {
+func (p *plugin) keepDelta(now time.Time, n *kernel.ListDelta) {
 	if n == nil || n.Base == 0 {
 		return
 	}
@@ -153,11 +153,11 @@
 	p.deltaAt = now
 }
 
-func (p *plugin) diff(next map[string]kernel.Instance, version uint64) *kernel.News {
+func (p *plugin) diff(next map[string]kernel.Instance, version uint64) *kernel.ListDelta {
 	if version <= p.version {
 		return nil
 	}
-	n := &kernel.News{Base: p.version, Version: version}
+	n := &kernel.ListDelta{Base: p.version, Version: version}
 	for name, i := range next {
 		if old, known := p.list[name]; !known || old != i {
 			n.Changed = append(n.Changed, i)
--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -26,7 +26,7 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	pool := &kernel.Pool{Service: manifest.Service{Name: "s"}, Bound: 2, Live: 8}
 	for i := range 8 {
-		pool.Endpoints = append(pool.Endpoints, kernel.Endpoint{Name: fmt.Sprintf("w%d", i), Service: "s", Home: "n1"})
+		pool.Endpoints = append(pool.Endpoints, kernel.Endpoint{Name: fmt.Sprintf("w%d", i), Service: "s", Owner: "n1"})
 	}
 	v := &kernel.View{At: now, Self: kernel.Node{Name: "n1"}, Pools: map[string]*kernel.Pool{"s": pool}}
 	p := route.NewRouter(route.Config{}).Plan(now, route.Request{Service: "s", Chat: "c", Deadline: now.Add(time.Minute)})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -296,10 +296,10 @@
 func firstBackoffEnd(pool *kernel.Pool) (first time.Time) {
 	for i := range pool.Endpoints {
 		e := &pool.Endpoints[i]
-		if e.State > kernel.Suspect || e.Rest.IsZero() || !first.IsZero() && !e.Rest.Before(first) {
+		if e.State > kernel.Suspect || e.BackoffUntil.IsZero() || !first.IsZero() && !e.BackoffUntil.Before(first) {
 			continue
 		}
-		first = e.Rest
+		first = e.BackoffUntil
 	}
 	return first
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,7 +20,7 @@
 	p := &kernel.Pool{Service: manifest.Service{Name: "engines"}, Bound: 1.5, Live: len(loads)}
 	for i, n := range loads {
 		l := kernel.Load{Requests: n, Tokens: 400 * n}
-		p.Endpoints = append(p.Endpoints, kernel.Endpoint{Name: fmt.Sprintf("w%d", i), Service: "engines", Home: "n1", Load: l})
+		p.Endpoints = append(p.Endpoints, kernel.Endpoint{Name: fmt.Sprintf("w%d", i), Service: "engines", Owner: "n1", Load: l})
 		p.Total = p.Total.Add(l)
 	}
 	return &kernel.View{At: start, Pools: map[string]*kernel.Pool{"engines": p}}
@@ -255,7 +255,7 @@
 // nothing before.
 func TestRequestThatNoEndpointTakesInTime(t *testing.T) {
 	rests := func(d time.Duration) func(e *kernel.Endpoint) {
-		return func(e *kernel.Endpoint) { e.Rest = start.Add(d) }
+		return func(e *kernel.Endpoint) { e.BackoffUntil = start.Add(d) }
 	}
 	leaves := func(e *kernel.Endpoint) { e.State = kernel.Leaving }
 	cases := map[string]struct {
