--- a/bulrushhinge.go
+++ b/bulrushhinge.go
@@ -164,7 +164,7 @@
 	k, permits := builtin.New(self, builtin.Config{
 		Config:     config.Config{Hold: config.DefaultHold},
 		Membership: membership.Config{Active: active},
-		Pool:       pool.Config{Sent: n.holder.Loads},
+		Pool:       pool.Config{Dispatched: n.holder.Loads},
 		Limit:      limit.Config{Limiter: n.limiter},
 		Capacity:   capacity.Config{Meter: n.meter},
 	}, append(c.Extensions, &n.lister)...)
--- a/internal/builtin/builtin.go
+++ b/internal/builtin/builtin.go
@@ -34,7 +34,7 @@
 	var k *kernel.Kernel
 	c.Gate.View = func() *kernel.View { return k.View() }
 	permits := gate.New(c.Gate)
-	c.Pool.Own = permits.Loads
+	c.Pool.Admitted = permits.Loads
 	k = kernel.New(kernel.Config{Self: self, Extensions: append([]kernel.Extension{
 		config.New(c.Config),
 		roster.New(c.Roster),
--- a/internal/caller/ticket.go
+++ b/internal/caller/ticket.go
@@ -30,7 +30,7 @@
 type (
 	// Relayer forwards requests to the node that minted their ticket.
 	Relayer interface {
-		Relay(ctx context.Context, to netip.AddrPort, r peer.Relayed, w http.ResponseWriter) (started bool, err error)
+		Relay(ctx context.Context, to netip.AddrPort, r peer.RelayedRequest, w http.ResponseWriter) (started bool, err error)
 	}
 
 	// TicketState is the answer to a query of a ticket's state.
@@ -72,7 +72,7 @@
 
 // Relay serves a request that was forwarded by another node of the fleet. It
 // includes the caller's key, which is checked here again.
-func (h *Handler) Relay(ctx context.Context, r peer.Relayed, w http.ResponseWriter) {
+func (h *Handler) Relay(ctx context.Context, r peer.RelayedRequest, w http.ResponseWriter) {
 	ctx = context.WithValue(ctx, relayedKey{}, true)
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URI, strings.NewReader(string(r.Body)))
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 	out := h.newTicketWriter(w)
 	defer out.release()
-	_, err := h.config.Relays.Relay(r.Context(), to.Peer, peer.Relayed{
+	_, err := h.config.Relays.Relay(r.Context(), to.Peer, peer.RelayedRequest{
 		Method: r.Method, URI: r.URL.RequestURI(), Header: relayedHeader(r.Header), Body: body,
 	}, out)
 	if err == nil {
--- a/internal/caller/truncated_test.go
+++ b/internal/caller/truncated_test.go
@@ -44,7 +44,7 @@
 }
 
 // Relay writes the answer.
-func (r *fakeRelayer) Relay(_ context.Context, _ netip.AddrPort, _ peer.Relayed, w http.ResponseWriter) (bool, error) {
+func (r *fakeRelayer) Relay(_ context.Context, _ netip.AddrPort, _ peer.RelayedRequest, w http.ResponseWriter) (bool, error) {
 	for name, values := range r.header {
 		w.Header()[name] = values
 	}
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -35,7 +35,7 @@
 	// PeerLeases requests leases from other nodes and releases them there.
 	PeerLeases interface {
 		Acquire(ctx context.Context, to netip.AddrPort, l poison.Lease) (bool, error)
-		GiveBack(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error
+		ReleaseLease(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error
 	}
 
 	// suspicion is what a job has learned about its own request.
@@ -128,7 +128,7 @@
 func (d *Dispatcher) sendLeaseRelease(to netip.AddrPort, l poison.Lease, died bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
-	return d.config.PeerLeases.GiveBack(ctx, to, l, died) == nil
+	return d.config.PeerLeases.ReleaseLease(ctx, to, l, died) == nil
 }
 
 // reportFailure reports a failed attempt to the control state.
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -31,7 +31,7 @@
 	return h.leases.Acquire(time.Now(), l), nil
 }
 
-func (h *leaseNode) GiveBack(_ context.Context, _ netip.AddrPort, l poison.Lease, died bool) error {
+func (h *leaseNode) ReleaseLease(_ context.Context, _ netip.AddrPort, l poison.Lease, died bool) error {
 	if h.lost.Add(-1) >= 0 {
 		return errTimeout
 	}
@@ -90,7 +90,7 @@
 	return granted, nil
 }
 
-func (h *leaseNodes) GiveBack(_ context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
+func (h *leaseNodes) ReleaseLease(_ context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
 	h.leases[to].Release(time.Now(), l, died)
 	return nil
 }
--- a/internal/peer/late_test.go
+++ b/internal/peer/late_test.go
@@ -57,7 +57,7 @@
 
 // pair returns a client, the address of a server that replies to heartbeats, and a
 // counter of the connections that the server accepts.
-func pair(t *testing.T, b peer.Beats) (*peer.Client, netip.AddrPort, *acceptCounter) {
+func pair(t *testing.T, b peer.HeartbeatHandler) (*peer.Client, netip.AddrPort, *acceptCounter) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	listening := &acceptCounter{Listener: l}
--- a/internal/peer/lease.go
+++ b/internal/peer/lease.go
@@ -25,9 +25,9 @@
 	return reply.Granted, nil
 }
 
-// GiveBack releases a lease. died reports that the endpoint died while it ran the
+// ReleaseLease releases a lease. died reports that the endpoint died while it ran the
 // request.
-func (c *Client) GiveBack(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
+func (c *Client) ReleaseLease(ctx context.Context, to netip.AddrPort, l poison.Lease, died bool) error {
 	req := encodeLease(l)
 	req.Release, req.Died = true, died
 	if _, err := c.rpcClient(ctx, to).Lease(ctx, req); err != nil {
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -25,17 +25,17 @@
 var ErrRelay = errors.New("peer: relay failed")
 
 type (
-	// Relayed is a caller's request as received by another node.
-	Relayed struct {
+	// RelayedRequest is a caller's request as received by another node.
+	RelayedRequest struct {
 		Method string
 		URI    string
 		Header http.Header
 		Body   []byte
 	}
 
-	// Relays serves relayed requests like those that callers send directly.
-	Relays interface {
-		Relay(ctx context.Context, r Relayed, w http.ResponseWriter)
+	// RelayHandler serves relayed requests like those that callers send directly.
+	RelayHandler interface {
+		Relay(ctx context.Context, r RelayedRequest, w http.ResponseWriter)
 	}
 
 	relayWriter struct {
@@ -48,7 +48,7 @@
 
 // Relay forwards a request to another node and copies the response to w. It reports
 // whether the response's header was written before an error.
-func (c *Client) Relay(ctx context.Context, to netip.AddrPort, r Relayed, w http.ResponseWriter) (started bool, err error) {
+func (c *Client) Relay(ctx context.Context, to netip.AddrPort, r RelayedRequest, w http.ResponseWriter) (started bool, err error) {
 	stream, err := c.rpcClient(ctx, to).Relay(ctx, &peerpb.RelayRequest{
 		Method: r.Method, Uri: r.URI, Headers: encodeHeader(r.Header), Body: r.Body,
 	})
@@ -82,7 +82,7 @@
 			err = fmt.Errorf("%w: %v", ErrRelay, p)
 		}
 	}()
-	h.config.Relays.Relay(stream.Context(), Relayed{
+	h.config.Relays.Relay(stream.Context(), RelayedRequest{
 		Method: r.Method, URI: r.Uri, Header: decodeHeader(r.Headers), Body: r.Body,
 	}, w)
 	if w.err != nil {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -26,8 +26,8 @@
 var ErrServe = errors.New("peer: serve")
 
 type (
-	// Beats answers heartbeats.
-	Beats interface {
+	// HeartbeatHandler answers heartbeats.
+	HeartbeatHandler interface {
 		// Beat applies a peer's heartbeat and returns the node's own as the reply.
 		Beat(ctx context.Context, b *kernel.Heartbeat) *kernel.Heartbeat
 	}
@@ -50,10 +50,10 @@
 		Key *Key
 		// Handshake is the timeout of the handshake; 0 is DefaultHandshake.
 		Handshake time.Duration
-		Beats     Beats
+		Beats     HeartbeatHandler
 		Permits   Permits
 		Values    Values
-		Relays    Relays
+		Relays    RelayHandler
 		Leases    Leases
 	}
 
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -91,7 +91,7 @@
 	if len(b.Loads) == 0 {
 		return
 	}
-	sent := loadsByName(p.config.Sent())
+	sent := loadsByName(p.config.Dispatched())
 	for _, l := range b.Loads {
 		m := p.members[l.Endpoint]
 		if m == nil || m.endpoint.Owner == p.self.Name {
@@ -148,7 +148,7 @@
 // not counted what the previous one admitted, so at first it uses the endpoint's own
 // report if that is higher.
 func (p *plugin) applyOwnCounts(now time.Time) {
-	for _, own := range p.config.Own() {
+	for _, own := range p.config.Admitted() {
 		m := p.members[own.Endpoint]
 		if m == nil || m.endpoint.Owner != p.self.Name {
 			continue
--- a/internal/pool/owner.go
+++ b/internal/pool/owner.go
@@ -20,7 +20,7 @@
 	regions      map[string]string
 }
 
-// Home returns the owner of an endpoint, which is the node that admits work to it:
+// Owner returns the owner of an endpoint, which is the node that admits work to it:
 // the first in the endpoint's rendezvous order among the live nodes of its
 // availability zone, or of its region, or of the whole fleet if there is none.
 // Settled nodes are preferred to those that have just joined.
@@ -28,7 +28,7 @@
 // Some peers know a joining node before others. If it became an owner at once, the
 // old and the new owner would both admit work to the endpoint until all nodes
 // agree, and together exceed the bound. It therefore waits until all peers know it.
-func Home(e kernel.Endpoint, nodes []kernel.Node) string {
+func Owner(e kernel.Endpoint, nodes []kernel.Node) string {
 	inZone := func(n kernel.Node) bool { return n.Zone == e.Zone }
 	inRegion := func(n kernel.Node) bool { return e.Region != "" && n.Region == e.Region }
 	anywhere := func(kernel.Node) bool { return true }
@@ -97,7 +97,7 @@
 		if len(candidates) == 0 {
 			candidates = o.nodes
 		}
-		if home := Home(*e, candidates); home != e.Owner {
+		if home := Owner(*e, candidates); home != e.Owner {
 			e.Owner = home
 			m.ownerChanged = now
 			m.ownCount = false
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -23,12 +23,12 @@
 		Quiet time.Duration
 		// Settle is how long nodes may disagree on the owner after it changed.
 		Settle time.Duration
-		// Own returns the loads that the node has admitted as an owner. It is
+		// Admitted returns the loads that the node has admitted as an owner. It is
 		// called for each heartbeat and each view.
-		Own func() []kernel.EndpointLoad
-		// Sent returns the loads that the node has dispatched itself and that
+		Admitted func() []kernel.EndpointLoad
+		// Dispatched returns the loads that the node has dispatched itself and that
 		// are still in progress.
-		Sent func() []kernel.EndpointLoad
+		Dispatched func() []kernel.EndpointLoad
 	}
 
 	extension struct{ config Config }
@@ -63,11 +63,11 @@
 		c.Settle = DefaultSettle
 	}
 	none := func() []kernel.EndpointLoad { return nil }
-	if c.Own == nil {
-		c.Own = none
+	if c.Admitted == nil {
+		c.Admitted = none
 	}
-	if c.Sent == nil {
-		c.Sent = none
+	if c.Dispatched == nil {
+		c.Dispatched = none
 	}
 	return extension{config: c}
 }
@@ -132,7 +132,7 @@
 	}
 	p.owners.update(v)
 	p.applyOwnCounts(now)
-	sent := loadsByName(p.config.Sent())
+	sent := loadsByName(p.config.Dispatched())
 	p.owned = p.owned[:0]
 	for _, m := range p.sorted {
 		p.addToPool(now, m, sent[m.endpoint.Name], v)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -26,7 +26,7 @@
 	n := &node{now: time.Unix(1000, 0)}
 	self := kernel.Node{Name: "n1", Zone: "z1", Incarnation: 7}
 	n.Kernel, _ = builtin.New(self, builtin.Config{Pool: pool.Config{
-		Sent: func() []kernel.EndpointLoad { return n.sent },
+		Dispatched: func() []kernel.EndpointLoad { return n.sent },
 	}})
 	for i := range endpoints {
 		n.list = append(n.list, kernel.Instance{
@@ -161,12 +161,12 @@
 	}
 	for i := range 50 {
 		e := kernel.Endpoint{Name: fmt.Sprintf("e%d", i), Zone: "z1"}
-		require.Equal(t, "a", pool.Home(e, nodes))
+		require.Equal(t, "a", pool.Owner(e, nodes))
 	}
 	nodes[0].State = kernel.Leaving
-	require.Equal(t, "b", pool.Home(kernel.Endpoint{Name: "e1", Zone: "z1"}, nodes))
+	require.Equal(t, "b", pool.Owner(kernel.Endpoint{Name: "e1", Zone: "z1"}, nodes))
 	nodes[1].State = kernel.Suspect
-	require.Equal(t, "c", pool.Home(kernel.Endpoint{Name: "e1", Zone: "z1"}, nodes))
+	require.Equal(t, "c", pool.Owner(kernel.Endpoint{Name: "e1", Zone: "z1"}, nodes))
 }
 
 func TestNewOwnerOverridesPreviousOwnersState(t *testing.T) {
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -66,7 +66,7 @@
 	n.kernel, n.gate = builtin.New(self, builtin.Config{
 		Membership: membership.Config{Active: func() int { return len(n.jobs) }},
 		Config:     config.Config{Hold: config.DefaultHold},
-		Pool:       pool.Config{Sent: n.holder.Loads},
+		Pool:       pool.Config{Dispatched: n.holder.Loads},
 		Gate:       s.config.Policy.Gate,
 	})
 	random := rand.New(rand.NewPCG(s.random.Uint64(), seedStream))
