--- a/control.go
+++ b/control.go
@@ -343,7 +343,7 @@
 		c.Offer(kernel.EndpointFailed{Endpoint: e.Name})
 		return
 	}
-	c.config.Gate.Reported(time.Now(), e.Name, kernel.Load{Requests: report.Requests, Tokens: report.Tokens})
+	c.config.Gate.RecordReport(time.Now(), e.Name, kernel.Load{Requests: report.Requests, Tokens: report.Tokens})
 	c.Offer(kernel.LoadReported{
 		Endpoint:    e.Name,
 		Load:        kernel.Load{Requests: report.Requests, Tokens: report.Tokens},
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -53,7 +53,7 @@
 
 // Apply grants every permit request.
 func (openGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	verdicts := make([]gate.Verdict, len(b.Asks))
+	verdicts := make([]gate.Verdict, len(b.Requests))
 	for i := range verdicts {
 		verdicts[i] = gate.Granted
 	}
@@ -191,6 +191,6 @@
 	<-s.ctx.Done()
 	return 0, s.ctx.Err()
 }
-func (openGate) Own(time.Time, string) kernel.Load { return kernel.Load{} }
+func (openGate) OwnedLoad(time.Time, string) kernel.Load { return kernel.Load{} }
 
-func (openGate) Heard(time.Time, string, string, kernel.Load) {}
+func (openGate) SetOwnerTotal(time.Time, string, string, kernel.Load) {}
--- a/internal/check/world_test.go
+++ b/internal/check/world_test.go
@@ -287,8 +287,8 @@
 		return
 	}
 	w.serial++
-	ask := gate.Ask{ID: w.serial, Endpoint: e.name, Tokens: 10, Node: p.name, Lease: lease}
-	reply := owner.gate.Apply(w.now, gate.Batch{Asks: []gate.Ask{ask}})
+	ask := gate.Request{ID: w.serial, Endpoint: e.name, Tokens: 10, Node: p.name, Lease: lease}
+	reply := owner.gate.Apply(w.now, gate.Batch{Requests: []gate.Request{ask}})
 	if reply.Verdicts[0] != gate.Granted {
 		return
 	}
@@ -306,7 +306,7 @@
 		w.step(requester, kernel.EndpointNotice{Endpoint: e.name, Leaving: true})
 	}
 	if w.alive(g.owner) {
-		g.owner.gate.Apply(w.now, gate.Batch{Returns: []gate.Return{{ID: id}}})
+		g.owner.gate.Apply(w.now, gate.Batch{Releases: []gate.Release{{ID: id}}})
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,8 +42,8 @@
 	// Gate grants permits for the endpoints that this node owns.
 	Gate interface {
 		Apply(now time.Time, b gate.Batch) gate.Reply
-		Own(now time.Time, endpoint string) kernel.Load
-		Heard(now time.Time, node, endpoint string, l kernel.Load)
+		OwnedLoad(now time.Time, endpoint string) kernel.Load
+		SetOwnerTotal(now time.Time, node, endpoint string, l kernel.Load)
 	}
 
 	// Limiter admits requests within the rate shares of their accounts.
@@ -214,11 +214,11 @@
 func (j *job) requestPermit(ctx context.Context, step route.Step) route.Outcome {
 	e := step.Endpoint
 	j.permitID = j.d.base + j.d.serial.Add(1)
-	req := gate.Ask{
+	req := gate.Request{
 		ID:       j.permitID,
 		Endpoint: e.Name,
 		Tokens:   step.Tokens,
-		Waited:   step.Waited,
+		Retry:    step.Waited,
 		Lease:    time.Until(j.req.Deadline) + gate.LeaseSlack,
 		Suspect:  len(j.suspect().Endpoints),
 	}
--- a/internal/dispatch/paused_test.go
+++ b/internal/dispatch/paused_test.go
@@ -37,11 +37,11 @@
 )
 
 func (g *pausedGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	for _, r := range b.Returns {
+	for _, r := range b.Releases {
 		g.released = append(g.released, r.ID)
 	}
 	var reply gate.Reply
-	for range b.Asks {
+	for range b.Requests {
 		g.requests++
 		verdict := gate.Gone
 		if g.requests == 1 {
@@ -53,9 +53,9 @@
 	return reply
 }
 
-func (*pausedGate) Own(time.Time, string) kernel.Load { return kernel.Load{} }
+func (*pausedGate) OwnedLoad(time.Time, string) kernel.Load { return kernel.Load{} }
 
-func (*pausedGate) Heard(time.Time, string, string, kernel.Load) {}
+func (*pausedGate) SetOwnerTotal(time.Time, string, string, kernel.Load) {}
 
 func (discardSink) Offer(kernel.Event) {}
 
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -14,28 +14,28 @@
 
 // outcomes maps the verdict of an owner to the outcome of a step.
 var outcomes = map[gate.Verdict]route.Outcome{
-	gate.Granted: route.OutcomeGranted,
-	gate.Full:    route.OutcomeFull,
-	gate.Gone:    route.OutcomeGone,
-	gate.NotHome: route.OutcomeUnreachable,
-	gate.Late:    route.OutcomeLate,
+	gate.Granted:  route.OutcomeGranted,
+	gate.Full:     route.OutcomeFull,
+	gate.Gone:     route.OutcomeGone,
+	gate.NotOwner: route.OutcomeUnreachable,
+	gate.TooLate:  route.OutcomeLate,
 }
 
 // requestPermit requests a permit from the owner of an endpoint and adds it to
 // the holder.
-func (d *Dispatcher) requestPermit(ctx context.Context, e kernel.Endpoint, req gate.Ask) route.Outcome {
+func (d *Dispatcher) requestPermit(ctx context.Context, e kernel.Endpoint, req gate.Request) route.Outcome {
 	v := d.config.View()
 	req.Node = v.Self.Name
 	start := time.Now()
 	reply, err := d.send(ctx, v, e.Owner, gate.Batch{
-		Asks: []gate.Ask{req}, Returns: d.holder.Returns(e.Owner), Own: d.config.Gate.Own(time.Now(), e.Name),
+		Requests: []gate.Request{req}, Releases: d.holder.TakeReleases(e.Owner), OwnedLoad: d.config.Gate.OwnedLoad(time.Now(), e.Name),
 	})
 	if err != nil {
 		// The owner may have granted the permit, which is not going to be used.
-		d.holder.Return(time.Now(), e.Owner, gate.Return{ID: req.ID})
+		d.holder.QueueReleases(time.Now(), e.Owner, gate.Release{ID: req.ID})
 		return route.OutcomeUnreachable
 	}
-	d.config.Gate.Heard(time.Now(), e.Owner, e.Name, reply.Own)
+	d.config.Gate.SetOwnerTotal(time.Now(), e.Owner, e.Name, reply.OwnedLoad)
 	d.config.Router.Observe(time.Now(), reply.Loads)
 	outcome, ok := outcomes[reply.Verdicts[0]]
 	if !ok {
@@ -44,7 +44,7 @@
 	if outcome != route.OutcomeGranted {
 		return outcome
 	}
-	d.holder.Take(time.Now(), v, e.Owner, req)
+	d.holder.Add(time.Now(), v, e.Owner, req)
 	// If the process was paused during the request, the permit is seconds old
 	// and its endpoint may be leaving by now. The plan requests another one.
 	if time.Since(start) >= kernel.MaxViewAge {
@@ -56,16 +56,16 @@
 
 // release queues the release of a permit. If it does not reach the owner, the
 // permit expires with its lease.
-func (d *Dispatcher) release(id uint64) { d.applyLocal(d.holder.Drop(time.Now(), id)) }
+func (d *Dispatcher) release(id uint64) { d.applyLocal(d.holder.Release(time.Now(), id)) }
 
 // releaseFailed is release for an attempt that failed early. Its duration is not
 // reported, as it says nothing about the endpoint's speed.
-func (d *Dispatcher) releaseFailed(id uint64) { d.applyLocal(d.holder.Void(time.Now(), id)) }
+func (d *Dispatcher) releaseFailed(id uint64) { d.applyLocal(d.holder.ReleaseFailed(time.Now(), id)) }
 
 // applyLocal applies the queued releases at once if this node is the owner.
 func (d *Dispatcher) applyLocal(owner string) {
 	if v := d.config.View(); owner == v.Self.Name {
-		d.config.Gate.Apply(time.Now(), gate.Batch{Returns: d.holder.Returns(owner)})
+		d.config.Gate.Apply(time.Now(), gate.Batch{Releases: d.holder.TakeReleases(owner)})
 	}
 }
 
@@ -83,7 +83,7 @@
 	defer cancel()
 	reply, err := d.config.Peers.Permit(ctx, n.Peer, b)
 	if err != nil {
-		d.holder.Return(time.Now(), owner, b.Returns...)
+		d.holder.QueueReleases(time.Now(), owner, b.Releases...)
 	}
 	return reply, err
 }
@@ -93,7 +93,7 @@
 	v := d.config.View()
 	for _, s := range d.holder.Due(time.Now(), v) {
 		d.running.Go(func() {
-			_, _ = d.send(ctx, v, s.Home, s.Batch)
+			_, _ = d.send(ctx, v, s.Owner, s.Batch)
 		})
 	}
 }
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -39,9 +39,9 @@
 			now := v.At.Add(time.Second)
 			for i := range b.N {
 				id := uint64(i) + 1
-				g.Admit(now, gate.Ask{ID: id, Endpoint: "w0001", Node: "n000", Tokens: 400, Lease: time.Minute})
+				g.Admit(now, gate.Request{ID: id, Endpoint: "w0001", Node: "n000", Tokens: 400, Lease: time.Minute})
 				if i >= 100 {
-					g.Release(now, gate.Return{ID: id - 100})
+					g.Release(now, gate.Release{ID: id - 100})
 				}
 			}
 		})
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -20,11 +20,11 @@
 	Full
 	// Gone means that the endpoint is leaving or unknown.
 	Gone
-	// NotHome means that the node does not own the endpoint, or that its view is
+	// NotOwner means that the node does not own the endpoint, or that its view is
 	// stale.
-	NotHome
-	// Late means that the endpoint cannot finish the request before its deadline.
-	Late
+	NotOwner
+	// TooLate means that the endpoint cannot finish the request before its deadline.
+	TooLate
 )
 
 // tombstoneTTL is how long a permit request may arrive after the release of its
@@ -51,14 +51,14 @@
 	// Verdict is the answer to a permit request.
 	Verdict int
 
-	// Ask requests one permit.
-	Ask struct {
+	// Request requests one permit.
+	Request struct {
 		// ID is unique across the fleet.
 		ID       uint64
 		Endpoint string
 		Tokens   int
-		// Waited is set if other owners have denied the request before.
-		Waited bool
+		// Retry is set if other owners have denied the request before.
+		Retry bool
 		// Node is the requesting node.
 		Node string
 		// Lease is how long the permit counts unless it is released.
@@ -69,18 +69,18 @@
 
 	// Batch is one message of a node to an owner.
 	Batch struct {
-		Asks []Ask
-		// Declares lists running requests whose permits another owner granted.
-		Declares []Ask
-		// Returns lists released permits.
-		Returns []Return
-		// Own is the total load of the endpoints that the sender owns, of the
-		// service of the first request in Asks.
-		Own kernel.Load
+		Requests []Request
+		// Declared lists running requests whose permits another owner granted.
+		Declared []Request
+		// Releases lists released permits.
+		Releases []Release
+		// OwnedLoad is the total load of the endpoints that the sender owns, of the
+		// service of the first request in Requests.
+		OwnedLoad kernel.Load
 	}
 
-	// Return releases one permit.
-	Return struct {
+	// Release releases one permit.
+	Release struct {
 		ID uint64
 		// Took is how long the request ran; 0 if it did not run or its time says
 		// nothing about the endpoint.
@@ -89,11 +89,11 @@
 
 	// Reply is an owner's answer to a Batch.
 	Reply struct {
-		// Verdicts answers each request of Asks, in order.
+		// Verdicts answers each request of Requests, in order.
 		Verdicts []Verdict
-		// Own is the total load of the endpoints that the owner owns, of the
-		// service of the first request in Asks.
-		Own kernel.Load
+		// OwnedLoad is the total load of the endpoints that the owner owns, of the
+		// service of the first request in Requests.
+		OwnedLoad kernel.Load
 		// Loads is the load of each of these endpoints, if a request was denied as
 		// Full.
 		Loads []kernel.EndpointLoad
@@ -161,20 +161,20 @@
 }
 
 // Admit decides on a permit request.
-func (g *Gate) Admit(now time.Time, a Ask) Verdict {
+func (g *Gate) Admit(now time.Time, a Request) Verdict {
 	v := g.config.View()
 	// After a pause of the process its view is outdated: it would admit work to
 	// endpoints that have left or have another owner by now. It grants nothing
 	// until the view is up to date.
 	if !v.Fresh(now) {
-		return NotHome
+		return NotOwner
 	}
 	e, pool, ok := find(v, a.Endpoint)
 	if !ok || e.State == kernel.Leaving {
 		return Gone
 	}
 	if e.Owner != v.Self.Name {
-		return NotHome
+		return NotOwner
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,13 +190,13 @@
 	}
 	load, limit := g.effectiveLoad(now, a.Endpoint), g.limit(a.Endpoint)
 	if limit.tooLate(now, a.Tokens, a.Lease-LeaseSlack) {
-		return Late
+		return TooLate
 	}
 	if !limit.admits(load.Requests) {
 		return Full
 	}
 	rule := g.config.Rule
-	if a.Waited {
+	if a.Retry {
 		rule = g.config.RetryRule
 	}
 	if !rule.Fits(g.withCurrentTotal(now, v, pool), load, a.Tokens, g.largestRequest(pool)) {
@@ -208,18 +208,18 @@
 
 // Apply processes a batch and returns the reply.
 func (g *Gate) Apply(now time.Time, b Batch) (r Reply) {
-	for _, r := range b.Returns {
+	for _, r := range b.Releases {
 		g.Release(now, r)
 	}
-	for _, a := range b.Declares {
+	for _, a := range b.Declared {
 		g.Declare(now, a)
 	}
-	if len(b.Asks) > 0 {
-		first := b.Asks[0]
-		g.Heard(now, first.Node, first.Endpoint, b.Own)
-		defer func() { r.Own = g.Own(now, first.Endpoint) }()
+	if len(b.Requests) > 0 {
+		first := b.Requests[0]
+		g.SetOwnerTotal(now, first.Node, first.Endpoint, b.OwnedLoad)
+		defer func() { r.OwnedLoad = g.OwnedLoad(now, first.Endpoint) }()
 	}
-	for _, a := range b.Asks {
+	for _, a := range b.Requests {
 		verdict := g.Admit(now, a)
 		r.Verdicts = append(r.Verdicts, verdict)
 		if verdict == Full {
@@ -231,7 +231,7 @@
 
 // Declare records a permit that another owner granted. The load does not matter, as
 // the request is already running.
-func (g *Gate) Declare(now time.Time, a Ask) {
+func (g *Gate) Declare(now time.Time, a Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, held := g.permits[a.ID]; !held {
@@ -246,7 +246,7 @@
 // after that would be held by nobody but count until its lease ends, and an idle
 // endpoint would seem loaded. A permit that was released is therefore not granted
 // later.
-func (g *Gate) Release(now time.Time, r Return) {
+func (g *Gate) Release(now time.Time, r Release) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, held := g.permits[r.ID]
@@ -302,7 +302,7 @@
 	return c
 }
 
-func (g *Gate) hold(now time.Time, a Ask) {
+func (g *Gate) hold(now time.Time, a Request) {
 	p := permit{
 		endpoint: a.Endpoint, node: a.Node, tokens: a.Tokens,
 		lease: a.Lease, expires: now.Add(a.Lease), suspect: a.Suspect,
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -31,14 +31,14 @@
 
 	// OwnerBatch is a batch for an owner.
 	OwnerBatch struct {
-		Home  string
+		Owner string
 		Batch Batch
 	}
 
 	// pendingReleases lists permits that wait to be released at one owner.
 	pendingReleases struct {
 		since time.Time
-		list  []Return
+		list  []Release
 	}
 
 	held struct {
@@ -56,8 +56,8 @@
 	return &Holder{permits: map[uint64]held{}, releases: map[string]pendingReleases{}}
 }
 
-// Take records a permit that the owner of an endpoint granted.
-func (h *Holder) Take(now time.Time, v *kernel.View, owner string, a Ask) {
+// Add records a permit that the owner of an endpoint granted.
+func (h *Holder) Add(now time.Time, v *kernel.View, owner string, a Request) {
 	n, _ := v.Node(owner)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,20 +67,20 @@
 	}
 }
 
-// Drop removes a permit and queues its release. It returns the owner, or "" if the
+// Release removes a permit and queues its release. It returns the owner, or "" if the
 // permit is not held.
-func (h *Holder) Drop(now time.Time, id uint64) string {
+func (h *Holder) Release(now time.Time, id uint64) string {
 	return h.drop(now, id, true)
 }
 
-// Void is Drop for a request that failed early: how long it ran says nothing about
+// ReleaseFailed is Release for a request that failed early: how long it ran says nothing about
 // the speed of its endpoint and is not reported.
-func (h *Holder) Void(now time.Time, id uint64) string {
+func (h *Holder) ReleaseFailed(now time.Time, id uint64) string {
 	return h.drop(now, id, false)
 }
 
-// Return queues releases for an owner that may have granted the permits.
-func (h *Holder) Return(now time.Time, owner string, list ...Return) {
+// QueueReleases queues releases for an owner that may have granted the permits.
+func (h *Holder) QueueReleases(now time.Time, owner string, list ...Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range list {
@@ -88,9 +88,9 @@
 	}
 }
 
-// Returns removes and returns the releases queued for an owner, to be sent with
+// TakeReleases removes and returns the releases queued for an owner, to be sent with
 // another message.
-func (h *Holder) Returns(owner string) []Return {
+func (h *Holder) TakeReleases(owner string) []Release {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := h.releases[owner].list
@@ -149,12 +149,12 @@
 		if batches[owner] == nil {
 			batches[owner] = &Batch{}
 		}
-		batches[owner].Returns = r.list
+		batches[owner].Releases = r.list
 		delete(h.releases, owner)
 	}
 	sends := make([]OwnerBatch, 0, len(batches))
 	for _, owner := range slices.Sorted(maps.Keys(batches)) {
-		sends = append(sends, OwnerBatch{Home: owner, Batch: *batches[owner]})
+		sends = append(sends, OwnerBatch{Owner: owner, Batch: *batches[owner]})
 	}
 	return sends
 }
@@ -171,13 +171,13 @@
 			continue
 		}
 		if p.owner != owner.name {
-			h.queueRelease(now, p.owner, Return{ID: id})
+			h.queueRelease(now, p.owner, Release{ID: id})
 		}
 		if batches[owner.name] == nil {
 			batches[owner.name] = &Batch{}
 		}
 		b := batches[owner.name]
-		b.Declares = append(b.Declares, Ask{
+		b.Declared = append(b.Declared, Request{
 			ID: id, Endpoint: p.endpoint, Node: v.Self.Name, Tokens: p.tokens, Lease: p.expires.Sub(now),
 		})
 		p.owner, p.incarnation = owner.name, owner.incarnation
@@ -193,7 +193,7 @@
 		return ""
 	}
 	delete(h.permits, id)
-	r := Return{ID: id}
+	r := Release{ID: id}
 	if ran {
 		r.Took = now.Sub(p.since)
 	}
@@ -201,7 +201,7 @@
 	return p.owner
 }
 
-func (h *Holder) queueRelease(now time.Time, owner string, item Return) {
+func (h *Holder) queueRelease(now time.Time, owner string, item Release) {
 	r := h.releases[owner]
 	if len(r.list) >= maxReleases {
 		return
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-func ask(id uint64) gate.Ask {
-	return gate.Ask{ID: id, Endpoint: "w1", Node: "n1", Tokens: 10, Lease: time.Minute}
+func ask(id uint64) gate.Request {
+	return gate.Request{ID: id, Endpoint: "w1", Node: "n1", Tokens: 10, Lease: time.Minute}
 }
 
 func loadOf(g *gate.Gate, endpoint string) kernel.Load {
@@ -47,14 +47,14 @@
 func TestPermitsAreDeclaredToNewOwner(t *testing.T) {
 	h := gate.NewHolder()
 	before := twoNodes("n1", "n1", 0)
-	h.Take(start, before, "n1", ask(1))
+	h.Add(start, before, "n1", ask(1))
 	require.Empty(t, h.Due(start, before))
 
 	after := twoNodes("n1", "n2", 0)
 	sends := h.Due(start, after)
 	require.Len(t, sends, 1)
-	require.Equal(t, "n2", sends[0].Home)
-	require.Equal(t, uint64(1), sends[0].Batch.Declares[0].ID)
+	require.Equal(t, "n2", sends[0].Owner)
+	require.Equal(t, uint64(1), sends[0].Batch.Declared[0].ID)
 
 	v := twoNodes("n2", "n2", 0)
 	owner := gate.New(gate.Config{View: func() *kernel.View { return v }})
@@ -62,8 +62,8 @@
 	owner.Apply(start, sends[0].Batch)
 	require.Equal(t, 1, loadOf(owner, "w1").Requests)
 
-	require.Equal(t, "n2", h.Drop(start, 1))
-	owner.Apply(start, gate.Batch{Returns: h.Returns("n2")})
+	require.Equal(t, "n2", h.Release(start, 1))
+	owner.Apply(start, gate.Batch{Releases: h.TakeReleases("n2")})
 	require.Zero(t, loadOf(owner, "w1").Requests)
 }
 
@@ -104,7 +104,7 @@
 	}
 	require.Equal(t, 30, loadOf(g, "w1").Tokens)
 	later := start.Add(1100 * time.Millisecond)
-	g.Reported(later, "w1", kernel.Load{Requests: 3, Tokens: 1030})
+	g.RecordReport(later, "w1", kernel.Load{Requests: 3, Tokens: 1030})
 	v = twoNodes("n1", "n1", 0)
 	v.At = later
 	require.Equal(t, kernel.Load{Requests: 3, Tokens: 530}, loadOf(g, "w1"))
@@ -149,6 +149,6 @@
 	}
 	next := ask(100)
 	require.Equal(t, gate.Full, g.Admit(start, next))
-	next.Waited = true
+	next.Retry = true
 	require.Equal(t, gate.Granted, g.Admit(start, next))
 }
--- a/internal/gate/overload_test.go
+++ b/internal/gate/overload_test.go
@@ -84,12 +84,12 @@
 			left = append(left, w)
 			continue
 		}
-		a := gate.Ask{ID: w.id, Endpoint: "w1", Tokens: requestTokens, Lease: w.deadline.Sub(p.now) + gate.LeaseSlack}
+		a := gate.Request{ID: w.id, Endpoint: "w1", Tokens: requestTokens, Lease: w.deadline.Sub(p.now) + gate.LeaseSlack}
 		switch p.gate.Admit(p.now, a) {
 		case gate.Granted:
 			w.startedAt = p.now
 			p.engine = append(p.engine, w)
-		case gate.Late:
+		case gate.TooLate:
 			p.refuse()
 		default:
 			w.nextTry = p.now.Add(retryPause)
@@ -117,7 +117,7 @@
 		if !done && !late {
 			return false
 		}
-		p.gate.Release(p.now, gate.Return{ID: w.id, Took: p.now.Sub(w.startedAt)})
+		p.gate.Release(p.now, gate.Release{ID: w.id, Took: p.now.Sub(w.startedAt)})
 		if done {
 			p.completed++
 		} else {
@@ -152,8 +152,8 @@
 func TestPermitReleasedBeforeRequestIsNotGranted(t *testing.T) {
 	p := newOverload()
 	p.run(0, time.Millisecond)
-	a := gate.Ask{ID: 9, Endpoint: "w1", Tokens: 1, Lease: time.Minute}
-	p.gate.Release(p.now, gate.Return{ID: a.ID})
+	a := gate.Request{ID: 9, Endpoint: "w1", Tokens: 1, Lease: time.Minute}
+	p.gate.Release(p.now, gate.Release{ID: a.ID})
 	require.Equal(t, gate.Full, p.gate.Admit(p.now, a))
 	a.ID = 10
 	require.Equal(t, gate.Granted, p.gate.Admit(p.now, a))
--- a/internal/gate/report.go
+++ b/internal/gate/report.go
@@ -33,13 +33,13 @@
 	}
 )
 
-// Reported processes an endpoint's own report of its load.
+// RecordReport processes an endpoint's own report of its load.
 //
 // The owner counts a request by its estimated size. If cached prefixes of chats
 // turn out to be evicted, or answers are long, an endpoint carries far more than
 // its permits say, and only its report shows it. As reports lag, each is compared
 // with the owner's count at the time that it describes.
-func (g *Gate) Reported(now time.Time, endpoint string, l kernel.Load) {
+func (g *Gate) RecordReport(now time.Time, endpoint string, l kernel.Load) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	history := g.history[endpoint]
--- a/internal/gate/stale_test.go
+++ b/internal/gate/stale_test.go
@@ -14,14 +14,14 @@
 func TestPausedOwnerGrantsNothingFromStaleView(t *testing.T) {
 	p := newOverload()
 	p.view.At = p.now
-	ask := gate.Ask{ID: 1, Endpoint: "w1", Tokens: requestTokens, Lease: time.Minute}
+	ask := gate.Request{ID: 1, Endpoint: "w1", Tokens: requestTokens, Lease: time.Minute}
 	require.Equal(t, gate.Granted, p.gate.Admit(p.now, ask))
 	resumed := p.now.Add(kernel.MaxViewAge)
 	ask.ID = 2
-	require.Equal(t, gate.NotHome, p.gate.Admit(resumed, ask))
+	require.Equal(t, gate.NotOwner, p.gate.Admit(resumed, ask))
 	p.view.At = resumed
 	p.view.Resyncing = true
-	require.Equal(t, gate.NotHome, p.gate.Admit(resumed, ask), "view is resynchronizing")
+	require.Equal(t, gate.NotOwner, p.gate.Admit(resumed, ask), "view is resynchronizing")
 	p.view.Resyncing = false
 	require.Equal(t, gate.Granted, p.gate.Admit(resumed, ask))
 }
--- a/internal/gate/suspect.go
+++ b/internal/gate/suspect.go
@@ -16,7 +16,7 @@
 // and be isolated with it. A strongly suspected request therefore runs where no
 // other suspect does: if the endpoint dies, no other request is suspected in its
 // place.
-func (g *Gate) admitsSuspect(a Ask) bool {
+func (g *Gate) admitsSuspect(a Request) bool {
 	suspects := 0
 	for _, p := range g.permits {
 		if p.endpoint != a.Endpoint || p.suspect == 0 {
--- a/internal/gate/suspect_test.go
+++ b/internal/gate/suspect_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := newOverload()
 			p.view.At = p.now
-			ask := gate.Ask{Endpoint: "w1", Lease: time.Minute}
+			ask := gate.Request{Endpoint: "w1", Lease: time.Minute}
 			for i, suspect := range c.held {
 				ask.ID, ask.Suspect = uint64(i+1), suspect
 				require.Equal(t, gate.Granted, p.gate.Admit(p.now, ask))
--- a/internal/gate/totals.go
+++ b/internal/gate/totals.go
@@ -25,9 +25,9 @@
 	}
 )
 
-// Own returns the total load of the endpoints that the node owns, of the service
+// OwnedLoad returns the total load of the endpoints that the node owns, of the service
 // that the given endpoint belongs to.
-func (g *Gate) Own(now time.Time, endpoint string) kernel.Load {
+func (g *Gate) OwnedLoad(now time.Time, endpoint string) kernel.Load {
 	v := g.config.View()
 	_, pool, ok := find(v, endpoint)
 	if !ok {
@@ -39,7 +39,7 @@
 	return g.ownedLoad(now, v, pool)
 }
 
-// Heard records the total load that a node reported for the endpoints it owns, of
+// SetOwnerTotal records the total load that a node reported for the endpoints it owns, of
 // the service that the given endpoint belongs to.
 //
 // The mean that bounds an endpoint's load includes loads reported by other owners,
@@ -47,7 +47,7 @@
 // changes by a tenth in that time, more than the margin of the bound. Permit
 // messages pass between the same nodes far more often, and the total adds only a
 // few bytes to them.
-func (g *Gate) Heard(now time.Time, node, endpoint string, l kernel.Load) {
+func (g *Gate) SetOwnerTotal(now time.Time, node, endpoint string, l kernel.Load) {
 	_, pool, ok := find(g.config.View(), endpoint)
 	if !ok {
 		return
--- a/internal/gate/unreachable_test.go
+++ b/internal/gate/unreachable_test.go
@@ -53,7 +53,7 @@
 			g.Loads()
 			if test.reported >= 0 {
 				now = now.Add(test.after)
-				g.Reported(now, "w1", kernel.Load{Requests: test.reported, Tokens: 10 * test.reported})
+				g.RecordReport(now, "w1", kernel.Load{Requests: test.reported, Tokens: 10 * test.reported})
 			}
 			require.Equal(t, test.want, grants("n2"))
 		})
@@ -74,7 +74,7 @@
 	require.Equal(t, 2, loadOf(g, "w1").Requests)
 	v.Nodes[0].State = kernel.Suspect
 	g.Expire(start)
-	g.Release(start, gate.Return{ID: 1})
+	g.Release(start, gate.Release{ID: 1})
 	v.Nodes[0].State = kernel.Live
 	g.Expire(start)
 	require.Equal(t, 1, loadOf(g, "w1").Requests)
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -239,7 +239,7 @@
 // work admits and completes requests at the fleet's rate.
 func (f *fakeFleet) work() {
 	for len(f.releases) > 0 && !f.now.Before(f.releases[0].at) {
-		f.releases[0].gate.Release(f.now, gate.Return{ID: f.releases[0].id})
+		f.releases[0].gate.Release(f.now, gate.Release{ID: f.releases[0].id})
 		f.releases = f.releases[1:]
 	}
 	f.pending += f.size.rate * kernel.DefaultTick.Seconds()
@@ -271,7 +271,7 @@
 	}
 	g := f.nodes[seen.Owner].gate
 	f.permits++
-	g.Admit(f.now, gate.Ask{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
+	g.Admit(f.now, gate.Request{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
 	f.releases = append(f.releases, release{at: until, gate: g, id: f.permits})
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -93,8 +93,8 @@
 		return gate.Reply{}, unreachable(to, err)
 	}
 	reply := DecodeReply(answer)
-	if len(reply.Verdicts) != len(b.Asks) {
-		return gate.Reply{}, fmt.Errorf("%w: %v sent %d verdicts for %d requests", ErrUnreachable, to, len(reply.Verdicts), len(b.Asks))
+	if len(reply.Verdicts) != len(b.Requests) {
+		return gate.Reply{}, fmt.Errorf("%w: %v sent %d verdicts for %d requests", ErrUnreachable, to, len(reply.Verdicts), len(b.Requests))
 	}
 	return reply, nil
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -58,33 +58,33 @@
 func EncodePermit(node string, b gate.Batch) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
 		Node:     node,
-		Asks:     mapSlice(b.Asks, encodeAsk),
-		Declares: mapSlice(b.Declares, encodeAsk),
-		Returns:  mapSlice(b.Returns, func(r gate.Return) uint64 { return r.ID }),
-		TookMs:   mapSlice(b.Returns, tookMS),
-		Own:      encodeOwn(b.Own),
+		Asks:     mapSlice(b.Requests, encodeAsk),
+		Declares: mapSlice(b.Declared, encodeAsk),
+		Returns:  mapSlice(b.Releases, func(r gate.Release) uint64 { return r.ID }),
+		TookMs:   mapSlice(b.Releases, tookMS),
+		Own:      encodeOwn(b.OwnedLoad),
 	}
 }
 
 // DecodePermit converts a wire message to a batch.
 func DecodePermit(r *peerpb.PermitRequest) gate.Batch {
-	decode := func(a *peerpb.Ask) gate.Ask { return decodeAsk(r.Node, a) }
+	decode := func(a *peerpb.Ask) gate.Request { return decodeAsk(r.Node, a) }
 	return gate.Batch{
-		Asks:     mapSlice(r.Asks, decode),
-		Declares: mapSlice(r.Declares, decode),
-		Returns:  decodeReturns(r),
-		Own:      decodeOwn(r.Own),
+		Requests:  mapSlice(r.Asks, decode),
+		Declared:  mapSlice(r.Declares, decode),
+		Releases:  decodeReturns(r),
+		OwnedLoad: decodeOwn(r.Own),
 	}
 }
 
 // tookMS returns the run time in milliseconds, rounded up because 0 means that the
 // request did not run.
-func tookMS(r gate.Return) uint32 {
+func tookMS(r gate.Release) uint32 {
 	return uint32((max(r.Took, 0) + time.Millisecond - 1) / time.Millisecond)
 }
 
-func decodeReturns(r *peerpb.PermitRequest) []gate.Return {
-	returns := make([]gate.Return, len(r.Returns))
+func decodeReturns(r *peerpb.PermitRequest) []gate.Release {
+	returns := make([]gate.Release, len(r.Returns))
 	for i, id := range r.Returns {
 		returns[i].ID = id
 		if i < len(r.TookMs) {
@@ -99,16 +99,16 @@
 	return &peerpb.PermitReply{
 		Verdicts: mapSlice(r.Verdicts, func(v gate.Verdict) uint32 { return uint32(v) }),
 		Loads:    mapSlice(r.Loads, encodeLoad),
-		Own:      encodeOwn(r.Own),
+		Own:      encodeOwn(r.OwnedLoad),
 	}
 }
 
 // DecodeReply converts a wire message to the reply to a batch.
 func DecodeReply(r *peerpb.PermitReply) gate.Reply {
 	return gate.Reply{
-		Verdicts: mapSlice(r.Verdicts, func(v uint32) gate.Verdict { return gate.Verdict(v) }),
-		Loads:    mapSlice(r.Loads, decodeLoad),
-		Own:      decodeOwn(r.Own),
+		Verdicts:  mapSlice(r.Verdicts, func(v uint32) gate.Verdict { return gate.Verdict(v) }),
+		Loads:     mapSlice(r.Loads, decodeLoad),
+		OwnedLoad: decodeOwn(r.Own),
 	}
 }
 
@@ -144,24 +144,24 @@
 	}
 }
 
-func encodeAsk(a gate.Ask) *peerpb.Ask {
+func encodeAsk(a gate.Request) *peerpb.Ask {
 	return &peerpb.Ask{
 		Id:       a.ID,
 		Endpoint: a.Endpoint,
 		Tokens:   uint32(max(a.Tokens, 0)),
 		LeaseMs:  uint32(max(a.Lease.Milliseconds(), 0)),
-		Waited:   a.Waited,
+		Waited:   a.Retry,
 		Suspect:  uint32(a.Suspect),
 	}
 }
 
-func decodeAsk(node string, a *peerpb.Ask) gate.Ask {
-	return gate.Ask{
+func decodeAsk(node string, a *peerpb.Ask) gate.Request {
+	return gate.Request{
 		ID:       a.Id,
 		Endpoint: a.Endpoint,
 		Node:     node,
 		Tokens:   int(a.Tokens),
-		Waited:   a.Waited,
+		Retry:    a.Waited,
 		Lease:    time.Duration(a.LeaseMs) * time.Millisecond,
 		Suspect:  int(a.Suspect),
 	}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -72,7 +72,7 @@
 // FuzzPermit decodes permit requests and releases and applies them to a gate.
 func FuzzPermit(f *testing.F) {
 	for _, data := range encoded(f,
-		peer.EncodePermit("n2", gate.Batch{Asks: []gate.Ask{{ID: 1, Endpoint: "w1", Tokens: 100, Lease: time.Minute, Suspect: 2}}, Returns: []gate.Return{{ID: 4, Took: time.Second}}}),
+		peer.EncodePermit("n2", gate.Batch{Requests: []gate.Request{{ID: 1, Endpoint: "w1", Tokens: 100, Lease: time.Minute, Suspect: 2}}, Releases: []gate.Release{{ID: 4, Took: time.Second}}}),
 	) {
 		f.Add(data)
 	}
@@ -84,7 +84,7 @@
 		_, permits, now := newKernel()
 		batch := peer.DecodePermit(&m)
 		reply := permits.Apply(now, batch)
-		require.Len(t, reply.Verdicts, len(batch.Asks), "each request has a verdict")
+		require.Len(t, reply.Verdicts, len(batch.Requests), "each request has a verdict")
 		permits.Expire(now.Add(time.Hour))
 		for _, l := range permits.Loads() {
 			require.GreaterOrEqual(t, l.Load.Requests, 0)
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -20,7 +20,7 @@
 type echo struct{ wait func(tokens int) }
 
 func (e echo) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	tokens := b.Asks[0].Tokens
+	tokens := b.Requests[0].Tokens
 	e.wait(tokens)
 	return gate.Reply{
 		Verdicts: []gate.Verdict{gate.Full},
@@ -45,7 +45,7 @@
 }
 
 func ask(tokens int) gate.Batch {
-	return gate.Batch{Asks: []gate.Ask{{ID: uint64(tokens), Endpoint: "w1", Tokens: tokens, Lease: time.Second}}}
+	return gate.Batch{Requests: []gate.Request{{ID: uint64(tokens), Endpoint: "w1", Tokens: tokens, Lease: time.Second}}}
 }
 
 // Guards against a request that gets the permit of another one.
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -53,7 +53,7 @@
 }
 
 func (permits) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	return gate.Reply{Verdicts: make([]gate.Verdict, len(b.Asks))}
+	return gate.Reply{Verdicts: make([]gate.Verdict, len(b.Requests))}
 }
 
 // newCountedPair returns a client, the address of its server, and the counters of
@@ -103,8 +103,8 @@
 func TestSizesOfPermits(t *testing.T) {
 	client, to, asked, answered := newCountedPair(t)
 	batch := gate.Batch{
-		Asks:    []gate.Ask{{ID: 7, Endpoint: "w12", Tokens: 900, Lease: time.Second}},
-		Returns: []gate.Return{{ID: 5, Took: time.Second}},
+		Requests: []gate.Request{{ID: 7, Endpoint: "w12", Tokens: 900, Lease: time.Second}},
+		Releases: []gate.Release{{ID: 5, Took: time.Second}},
 	}
 	const calls, numbers = 140, 10
 	reply, err := client.Permit(t.Context(), to, batch)
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -198,7 +198,7 @@
 			Models: []string{g.info.Model}, Leaving: g.leaving,
 		}
 		n.traffic.probes += jsonBytes(report)
-		n.gate.Reported(s.time(), name, load)
+		n.gate.RecordReport(s.time(), name, load)
 		n.step(kernel.LoadReported{Endpoint: name, Load: load, Models: report.Models, Leaving: report.Leaving})
 	})
 }
--- a/internal/replay/permit.go
+++ b/internal/replay/permit.go
@@ -13,23 +13,23 @@
 	s.attempts++
 	j.permit = s.attempts
 	owner := step.Endpoint.Owner
-	request := gate.Ask{
-		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Waited: step.Waited,
+	request := gate.Request{
+		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Retry: step.Waited,
 		Lease: j.request.Deadline.Sub(s.time()) + leaseSlack,
 	}
-	batch := gate.Batch{Asks: []gate.Ask{request}, Returns: n.holder.Returns(owner), Own: n.gate.Own(s.time(), request.Endpoint)}
+	batch := gate.Batch{Requests: []gate.Request{request}, Releases: n.holder.TakeReleases(owner), OwnedLoad: n.gate.OwnedLoad(s.time(), request.Endpoint)}
 	n.send(owner, batch, func(r gate.Reply, ok bool) {
 		if !ok {
-			n.holder.Return(s.time(), owner, gate.Return{ID: request.ID})
+			n.holder.QueueReleases(s.time(), owner, gate.Release{ID: request.ID})
 			j.report(route.OutcomeUnreachable)
 			return
 		}
-		n.gate.Heard(s.time(), owner, request.Endpoint, r.Own)
+		n.gate.SetOwnerTotal(s.time(), owner, request.Endpoint, r.OwnedLoad)
 		n.router.Observe(s.time(), r.Loads)
 		o := outcome(r.Verdicts[0])
 		s.meter.verdicts[r.Verdicts[0]]++
 		if o == route.OutcomeGranted {
-			n.holder.Take(s.time(), n.view(), owner, request)
+			n.holder.Add(s.time(), n.view(), owner, request)
 			if j.done {
 				n.release(request.ID)
 			}
@@ -46,7 +46,7 @@
 		return
 	}
 	failed := func() {
-		n.holder.Return(s.time(), owner, b.Returns...)
+		n.holder.QueueReleases(s.time(), owner, b.Releases...)
 		done(gate.Reply{}, false)
 	}
 	if _, known := n.view().Node(owner); !known {
@@ -70,15 +70,15 @@
 // flush sends owners the releases and declarations that are due.
 func (n *node) flush() {
 	for _, d := range n.holder.Due(n.sim.time(), n.view()) {
-		n.send(d.Home, d.Batch, func(gate.Reply, bool) {})
+		n.send(d.Owner, d.Batch, func(gate.Reply, bool) {})
 	}
 }
 
 // release releases a permit.
 func (n *node) release(id uint64) {
 	now := n.sim.time()
-	if n.holder.Drop(now, id) == n.name {
-		n.gate.Apply(now, gate.Batch{Returns: n.holder.Returns(n.name)})
+	if n.holder.Release(now, id) == n.name {
+		n.gate.Apply(now, gate.Batch{Releases: n.holder.TakeReleases(n.name)})
 	}
 }
 
@@ -90,7 +90,7 @@
 		return route.OutcomeFull
 	case gate.Gone:
 		return route.OutcomeGone
-	case gate.Late:
+	case gate.TooLate:
 		return route.OutcomeLate
 	default:
 		return route.OutcomeUnreachable
