--- a/internal/admission/accounts.go
+++ b/internal/admission/accounts.go
@@ -62,9 +62,9 @@
 
 func newAccount(now time.Time) account {
 	return account{
-		since: now, baseline: rates.Decayed{Memory: baselineWindow},
-		recent: rates.Decayed{Memory: rateWindow}, regular: rates.Decayed{Memory: rateWindow},
-		requested: rates.Decayed{Memory: shareWindow}, served: rates.Decayed{Memory: shareWindow},
+		since: now, baseline: rates.Decayed{TimeConstant: baselineWindow},
+		recent: rates.Decayed{TimeConstant: rateWindow}, regular: rates.Decayed{TimeConstant: rateWindow},
+		requested: rates.Decayed{TimeConstant: shareWindow}, served: rates.Decayed{TimeConstant: shareWindow},
 	}
 }
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -381,8 +381,8 @@
 	k := q.kinds[r.Kind]
 	if k == nil {
 		k = &kind{
-			requested: rates.Decayed{Memory: shareWindow}, served: rates.Decayed{Memory: shareWindow},
-			placed: rates.Decayed{Memory: rateWindow}, refused: rates.Decayed{Memory: rateWindow},
+			requested: rates.Decayed{TimeConstant: shareWindow}, served: rates.Decayed{TimeConstant: shareWindow},
+			placed: rates.Decayed{TimeConstant: rateWindow}, refused: rates.Decayed{TimeConstant: rateWindow},
 		}
 		q.kinds[r.Kind] = k
 	}
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -225,7 +225,7 @@
 // countRequest counts a request that is sent to a service.
 func (b *Balancer) countRequest(now time.Time, service string) {
 	if b.requests[service] == nil {
-		b.requests[service] = &rates.Decayed{Memory: failureMemory}
+		b.requests[service] = &rates.Decayed{TimeConstant: failureMemory}
 	}
 	b.requests[service].Add(now)
 }
@@ -310,7 +310,7 @@
 func (b *Balancer) state(s deployment.Start, now time.Time) *endpointState {
 	o := b.endpoints[s]
 	if o == nil {
-		o = &endpointState{key: s.Key(), warmupMargin: b.drawWarmupMargin(), failures: rates.Decayed{Memory: failureMemory}}
+		o = &endpointState{key: s.Key(), warmupMargin: b.drawWarmupMargin(), failures: rates.Decayed{TimeConstant: failureMemory}}
 		b.endpoints[s] = o
 	}
 	o.lastUsed = now
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -57,8 +57,8 @@
 	w.requests[w.slot()]++
 }
 
-// Repeat takes one retry from the budget, or returns false if none is left.
-func (b *Budget) Repeat(now time.Time, service string) bool {
+// Retry takes one retry from the budget, or returns false if none is left.
+func (b *Budget) Retry(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -25,7 +25,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "repeat") {
-				if b.Repeat(now, "s") {
+				if b.Retry(now, "s") {
 					repeats = append(repeats, now)
 				}
 				continue
@@ -55,10 +55,10 @@
 	b := budget.New(budget.Config{Ratio: 0.2, Window: time.Second, Slack: 10, Nodes: func() int { return 1 }})
 	now := time.Now()
 	taken := 0
-	for b.Repeat(now, "s") {
+	for b.Retry(now, "s") {
 		taken++
 	}
 	require.Equal(t, 8, taken)
-	require.False(t, b.Repeat(now.Add(900*time.Millisecond), "s"))
-	require.True(t, b.Repeat(now.Add(1300*time.Millisecond), "s"))
+	require.False(t, b.Retry(now.Add(900*time.Millisecond), "s"))
+	require.True(t, b.Retry(now.Add(1300*time.Millisecond), "s"))
 }
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -58,7 +58,7 @@
 // run executes a request: directly, or with its ticket if it must not be
 // repeated.
 func (h *Handler) run(w http.ResponseWriter, r *http.Request, k work) {
-	k.request.Print = poison.Print(k.account.Name, []byte(k.call.Method), []byte(k.call.Path), k.call.Body)
+	k.request.Print = poison.Fingerprint(k.account.Name, []byte(k.call.Method), []byte(k.call.Path), k.call.Body)
 	w.Header().Set(HeaderRequest, strconv.FormatUint(k.request.ID, 16))
 	if k.request.Once {
 		h.runOnce(w, r, k)
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -18,7 +18,7 @@
 	if d.config.Limiter == nil {
 		return nil
 	}
-	entry := d.config.Limiter.Offer(time.Now(), limit.Ask{
+	entry := d.config.Limiter.Enqueue(time.Now(), limit.Request{
 		Account:  req.Account,
 		Tokens:   req.Input + req.Output,
 		Priority: req.Priority,
@@ -27,7 +27,7 @@
 	for {
 		step := entry.Poll(time.Now())
 		switch step.Kind {
-		case limit.StepGo:
+		case limit.StepAdmit:
 			return nil
 		case limit.StepRefuse:
 			return &Refusal{Reason: route.ReasonLimited, RetryAfter: step.RetryAfter, NotRun: true}
--- a/internal/dispatch/admit_test.go
+++ b/internal/dispatch/admit_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := limit.NewLimiter(limit.LimiterConfig{})
 		share := map[string]limit.Share{"a": {Rate: 1, Burst: 10}}
-		l.Limit(time.Now(), share, share)
+		l.SetShares(time.Now(), share, share)
 		view := &kernel.View{Pools: map[string]*kernel.Pool{}}
 		d := dispatch.New(dispatch.Config{View: func() *kernel.View { return view }, Limiter: l})
 		defer d.Close()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -48,7 +48,7 @@
 
 	// Limiter admits requests within the rate shares of their accounts.
 	Limiter interface {
-		Offer(now time.Time, a limit.Ask) *limit.Entry
+		Enqueue(now time.Time, a limit.Request) *limit.Entry
 	}
 
 	// Meter measures the demand for models.
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -79,7 +79,7 @@
 // acquire requests the lease from the node that grants it.
 func (j *job) acquire(ctx context.Context) bool {
 	v := j.d.config.View()
-	node, ok := poison.Holder(j.req.Print, v.Nodes)
+	node, ok := poison.LeaseNode(j.req.Print, v.Nodes)
 	if !ok {
 		return false
 	}
@@ -91,7 +91,7 @@
 		j.releaseLease(false)
 	}
 	if s.lease.ID == 0 {
-		s.lease = poison.Lease{Print: j.req.Print, ID: j.d.base + j.d.serial.Add(1)}
+		s.lease = poison.Lease{Fingerprint: j.req.Print, ID: j.d.base + j.d.serial.Add(1)}
 	}
 	s.leaseNode = node
 	s.lease.Duration = time.Until(j.req.Deadline) + leaseTimeout
@@ -139,7 +139,7 @@
 	}
 	if died && j.req.Print != 0 {
 		j.suspicion.endpoints = append(j.suspicion.endpoints, e.Name)
-		j.d.config.Sink.Offer(poison.Died{Print: j.req.Print, Endpoint: e.Name})
+		j.d.config.Sink.Offer(poison.EndpointDied{Fingerprint: j.req.Print, Endpoint: e.Name})
 	}
 	j.releaseLease(died)
 }
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -42,7 +42,7 @@
 // fingerprintFor returns the fingerprint of a request whose leases the node grants.
 func fingerprintFor(node string, nodes []kernel.Node) uint64 {
 	for content := uint64(1); ; content++ {
-		if holder, _ := poison.Holder(content, nodes); holder.Name == node {
+		if holder, _ := poison.LeaseNode(content, nodes); holder.Name == node {
 			return content
 		}
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -91,7 +91,7 @@
 	if try+1 >= maxTries {
 		return c.giveUp(c.progress.reason)
 	}
-	if res != resultNotSent && res != resultWithdrawn && !c.handler.config.Budget.Repeat(time.Now(), c.service.Name) {
+	if res != resultNotSent && res != resultWithdrawn && !c.handler.config.Budget.Retry(time.Now(), c.service.Name) {
 		return c.giveUp(reasonBudget)
 	}
 	return nil
--- a/internal/limit/entry.go
+++ b/internal/limit/entry.go
@@ -19,7 +19,7 @@
 	Entry struct {
 		limiter    *Limiter
 		bucket     *bucket
-		ask        Ask
+		ask        Request
 		serial     uint64
 		state      entryState
 		retryAfter time.Duration
@@ -38,7 +38,7 @@
 	}
 	switch e.state {
 	case entryAdmitted:
-		return Step{Kind: StepGo}
+		return Step{Kind: StepAdmit}
 	case entryRefused:
 		return Step{Kind: StepRefuse, RetryAfter: e.retryAfter}
 	}
@@ -47,7 +47,7 @@
 			return Step{Kind: StepWait, Until: now.Add(max(e.bucket.waitTime(now, i), time.Millisecond))}
 		}
 	}
-	return Step{Kind: StepGo}
+	return Step{Kind: StepAdmit}
 }
 
 // Wake returns a channel that receives when it is worth polling before the last
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -125,7 +125,7 @@
 }
 
 func (f *fleet) ask(n *node, account string) {
-	entry := n.limiter.Offer(f.now, limit.Ask{Account: account, Tokens: requestSize, Deadline: f.now.Add(requestTimeout)})
+	entry := n.limiter.Enqueue(f.now, limit.Request{Account: account, Tokens: requestSize, Deadline: f.now.Add(requestTimeout)})
 	n.waiting = append(n.waiting, &request{entry: entry, account: account, arrived: f.now})
 }
 
@@ -139,7 +139,7 @@
 		waited := f.now.Sub(r.arrived)
 		step := r.entry.Poll(f.now)
 		switch step.Kind {
-		case limit.StepGo:
+		case limit.StepAdmit:
 			f.admitted[r.account] += requestSize
 			f.delays[r.account] = max(f.delays[r.account], waited)
 		case limit.StepRefuse:
@@ -230,12 +230,12 @@
 	now := time.Unix(1000, 0)
 	l := limit.NewLimiter(limit.LimiterConfig{MaxPerAccount: 3})
 	share := map[string]limit.Share{"a": {Rate: 100, Burst: 100}}
-	l.Limit(now, share, share)
+	l.SetShares(now, share, share)
 	offer := func(priority int, deadline time.Duration) *limit.Entry {
-		return l.Offer(now, limit.Ask{Account: "a", Tokens: 100, Priority: priority, Deadline: now.Add(deadline)})
+		return l.Enqueue(now, limit.Request{Account: "a", Tokens: 100, Priority: priority, Deadline: now.Add(deadline)})
 	}
 	first := offer(0, time.Minute)
-	require.Equal(t, limit.StepGo, first.Poll(now).Kind)
+	require.Equal(t, limit.StepAdmit, first.Poll(now).Kind)
 	second := offer(0, 1500*time.Millisecond)
 	require.Equal(t, now.Add(time.Second), second.Poll(now).Until)
 	impatient := offer(0, time.Second)
@@ -257,6 +257,6 @@
 
 func TestUnlimitedAccountsAreAdmitted(t *testing.T) {
 	l := limit.NewLimiter(limit.LimiterConfig{})
-	e := l.Offer(time.Unix(1000, 0), limit.Ask{Account: "a", Tokens: 1 << 40})
-	require.Equal(t, limit.StepGo, e.Poll(time.Unix(1000, 0)).Kind)
+	e := l.Enqueue(time.Unix(1000, 0), limit.Request{Account: "a", Tokens: 1 << 40})
+	require.Equal(t, limit.StepAdmit, e.Poll(time.Unix(1000, 0)).Kind)
 }
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -23,8 +23,8 @@
 
 // Kinds of steps.
 const (
-	// StepGo admits the request.
-	StepGo StepKind = iota + 1
+	// StepAdmit admits the request.
+	StepAdmit StepKind = iota + 1
 	// StepWait waits until Until or the entry's Wake, whichever is first.
 	StepWait
 	// StepRefuse refuses the request: it would be admitted after its deadline, or
@@ -45,8 +45,8 @@
 		RetryAfter time.Duration
 	}
 
-	// Ask requests the admission of one request.
-	Ask struct {
+	// Request requests the admission of one request.
+	Request struct {
 		Account string
 		// Tokens is the number of prompt tokens plus the tokens to generate.
 		Tokens   int
@@ -95,8 +95,8 @@
 	return &Limiter{config: c, buckets: map[string]*bucket{}}
 }
 
-// Offer enqueues a request; Poll returns the decision on it.
-func (l *Limiter) Offer(now time.Time, a Ask) *Entry {
+// Enqueue enqueues a request; Poll returns the decision on it.
+func (l *Limiter) Enqueue(now time.Time, a Request) *Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := &Entry{limiter: l, ask: a, wake: make(chan struct{}, 1)}
@@ -146,9 +146,9 @@
 	return l.waiting
 }
 
-// Limit sets the initial shares of all limited accounts, and the shares of those
+// SetShares sets the initial shares of all limited accounts, and the shares of those
 // with recent requests. The maps must not be changed afterwards.
-func (l *Limiter) Limit(now time.Time, initial, shares map[string]Share) {
+func (l *Limiter) SetShares(now time.Time, initial, shares map[string]Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.initial = initial
--- a/internal/limit/plugin.go
+++ b/internal/limit/plugin.go
@@ -235,7 +235,7 @@
 	for account, demand := range own {
 		shares[account] = p.share(now, account, demand, others[account])
 	}
-	p.limiter.Limit(now, p.initial, shares)
+	p.limiter.SetShares(now, p.initial, shares)
 }
 
 // share returns the node's share of an account's rate.
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -256,7 +256,7 @@
 	account := int(part * part * float64(f.size.accounts))
 	at := account*7 + f.rand.IntN(nodesPerAccount)
 	n := f.nodes[f.names[at%len(f.names)]]
-	n.limiter.Offer(f.now, limit.Ask{
+	n.limiter.Enqueue(f.now, limit.Request{
 		Account: f.m.Accounts[account].Name, Tokens: requestTokens, Deadline: f.now.Add(time.Second),
 	})
 	n.meter.Add(f.now, fmt.Sprintf("model-%d", account%3), requestTokens)
--- a/internal/peer/lease.go
+++ b/internal/peer/lease.go
@@ -38,7 +38,7 @@
 
 // Lease serves the acquisition and release of leases.
 func (h *handler) Lease(_ context.Context, r *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
-	lease := poison.Lease{Print: r.Print, ID: r.Id, Duration: time.Duration(r.LeaseMs) * time.Millisecond}
+	lease := poison.Lease{Fingerprint: r.Print, ID: r.Id, Duration: time.Duration(r.LeaseMs) * time.Millisecond}
 	if r.Release {
 		h.config.Leases.Release(time.Now(), lease, r.Died)
 		return &peerpb.LeaseReply{}, nil
@@ -47,7 +47,7 @@
 }
 
 func encodeLease(l poison.Lease) *peerpb.LeaseRequest {
-	return &peerpb.LeaseRequest{Print: l.Print, Id: l.ID, LeaseMs: uint32(max(l.Duration.Milliseconds(), 0))}
+	return &peerpb.LeaseRequest{Print: l.Fingerprint, Id: l.ID, LeaseMs: uint32(max(l.Duration.Milliseconds(), 0))}
 }
 
 func encodeSuspect(s kernel.Suspicion) *peerpb.Suspect {
--- a/internal/poison/lease.go
+++ b/internal/poison/lease.go
@@ -20,15 +20,15 @@
 type (
 	// Lease is the right to run a suspected request.
 	Lease struct {
-		// Print is the fingerprint of the request, ID identifies the holder.
-		Print uint64
-		ID    uint64
+		// Fingerprint is the fingerprint of the request, ID identifies the holder.
+		Fingerprint uint64
+		ID          uint64
 		// Duration is how long the lease lasts unless it is released.
 		Duration time.Duration
 	}
 
 	// Leases grants at most one lease at a time for each suspected request that the
-	// node is responsible for (see Holder). It is safe for concurrent use.
+	// node is responsible for (see LeaseNode). It is safe for concurrent use.
 	Leases struct {
 		mu       sync.Mutex
 		cooldown time.Duration
@@ -61,10 +61,10 @@
 	if _, released := l.tombstones[lease.ID]; released {
 		return false
 	}
-	if h, ok := l.held[lease.Print]; ok {
+	if h, ok := l.held[lease.Fingerprint]; ok {
 		return h.id == lease.ID
 	}
-	l.held[lease.Print] = held{id: lease.ID, until: now.Add(lease.Duration)}
+	l.held[lease.Fingerprint] = held{id: lease.ID, until: now.Add(lease.Duration)}
 	return true
 }
 
@@ -78,13 +78,13 @@
 func (l *Leases) Release(now time.Time, lease Lease, died bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h, ok := l.held[lease.Print]; !ok || h.id != lease.ID {
+	if h, ok := l.held[lease.Fingerprint]; !ok || h.id != lease.ID {
 		l.tombstones[lease.ID] = now.Add(tombstoneTTL)
 		return
 	}
-	delete(l.held, lease.Print)
+	delete(l.held, lease.Fingerprint)
 	if died {
-		l.held[lease.Print] = held{until: now.Add(l.cooldown)}
+		l.held[lease.Fingerprint] = held{until: now.Add(l.cooldown)}
 	}
 }
 
@@ -101,9 +101,9 @@
 	}
 }
 
-// Holder returns the node that grants the leases of a request: the first live
+// LeaseNode returns the node that grants the leases of a request: the first live
 // one in its rendezvous order.
-func Holder(request uint64, nodes []kernel.Node) (kernel.Node, bool) {
+func LeaseNode(request uint64, nodes []kernel.Node) (kernel.Node, bool) {
 	for _, n := range kernel.Rendezvous(strconv.FormatUint(request, 16), nodes) {
 		if n.State == kernel.Live {
 			return n, true
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -35,10 +35,10 @@
 )
 
 type (
-	// Died reports an endpoint that died while it ran a request.
-	Died struct {
-		Print    uint64
-		Endpoint string
+	// EndpointDied reports an endpoint that died while it ran a request.
+	EndpointDied struct {
+		Fingerprint uint64
+		Endpoint    string
 	}
 
 	// Config configures the plug-in. Zero settings take their defaults.
@@ -65,10 +65,10 @@
 	}
 )
 
-// Print returns the fingerprint of a request, which identifies it across the fleet:
+// Fingerprint returns the fingerprint of a request, which identifies it across the fleet:
 // a hash of its client account and content. The hash is cryptographic, so that no
 // account can craft a request that is taken for another account's.
-func Print(account string, content ...[]byte) uint64 {
+func Fingerprint(account string, content ...[]byte) uint64 {
 	digest := sha256.New()
 	size := make([]byte, binary.MaxVarintLen64)
 	for _, part := range append([][]byte{[]byte(account)}, content...) {
@@ -95,8 +95,8 @@
 // Handle records deaths that the node saw or received from a peer.
 func (p *plugin) Handle(now time.Time, ev kernel.Event, out *kernel.Output) {
 	switch ev := ev.(type) {
-	case Died:
-		p.merge(now, kernel.Suspicion{Fingerprint: ev.Print, Endpoints: []string{ev.Endpoint}}, out)
+	case EndpointDied:
+		p.merge(now, kernel.Suspicion{Fingerprint: ev.Fingerprint, Endpoints: []string{ev.Endpoint}}, out)
 	case kernel.HeartbeatReceived:
 		for _, s := range ev.Heartbeat.Suspects {
 			p.merge(now, s, out)
--- a/internal/rates/decayed.go
+++ b/internal/rates/decayed.go
@@ -7,9 +7,9 @@
 
 // Decayed is an exponentially decaying count.
 type Decayed struct {
-	// Memory is the time constant: the time in which the count decays to about a
+	// TimeConstant is the time in which the count decays to about a
 	// third.
-	Memory time.Duration
+	TimeConstant time.Duration
 
 	value float64
 	at    time.Time
@@ -20,7 +20,7 @@
 	if d.value == 0 {
 		return 0
 	}
-	return d.value * math.Exp(-now.Sub(d.at).Seconds()/d.Memory.Seconds())
+	return d.value * math.Exp(-now.Sub(d.at).Seconds()/d.TimeConstant.Seconds())
 }
 
 // Add increments the count.
