--- a/gateway.go
+++ b/gateway.go
@@ -132,9 +132,9 @@
 // Others returns the requests in progress at an endpoint that other nodes sent.
 func (l peerLoads) Others(key uint32) int { return l.gateway.gossip.Others(key) }
 
-// OthersReading returns the prompt tokens that an endpoint has yet to prefill for
+// OthersPrefill returns the prompt tokens that an endpoint has yet to prefill for
 // other nodes' requests.
-func (l peerLoads) OthersReading(key uint32) int { return l.gateway.gossip.OthersReading(key) }
+func (l peerLoads) OthersPrefill(key uint32) int { return l.gateway.gossip.OthersPrefill(key) }
 
 // OthersFailures returns the recent attempts of other nodes that an endpoint has
 // failed.
@@ -150,7 +150,7 @@
 	g.SetSeeds(c.Seeds)
 	g.state = deployment.NewState(deployment.StateConfig{Decoder: c.Decoder, Drain: c.Drain, Regions: slices.Sorted(maps.Values(c.Regions)), Log: g.log})
 	nodes := func() int { return g.gossip.View().Known }
-	g.balancer = balance.New(balance.Config{Loads: peerLoads{gateway: g}, Zone: c.Zone, Cap: c.LoadCap, Nodes: nodes})
+	g.balancer = balance.New(balance.Config{Loads: peerLoads{gateway: g}, Zone: c.Zone, LoadFactor: c.LoadCap, Nodes: nodes})
 	g.pool = http1.NewPool(http1.PoolConfig{RequestID: c.Headers.RequestID, Opened: g.metrics.Opened})
 	crashes := gateway.NewCrashes(func(fingerprint uint64, endpoint deployment.Start) {
 		g.gossip.Tell(gossip.Crash{Print: fingerprint, Endpoint: endpoint.Key()})
--- a/internal/admission/accounts_test.go
+++ b/internal/admission/accounts_test.go
@@ -12,7 +12,7 @@
 
 // of returns the load as that of a client account.
 func of(client string, l load) load {
-	l.request.Client = client
+	l.request.Account = client
 	return l
 }
 
@@ -61,7 +61,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := play(pattern{nodes: c.nodes, places: fixedPlaces(c.places), kinds: c.kinds, length: 20 * time.Second}, 7)
 			for i, k := range m.tallies {
-				t.Logf("%s asked %d served %.2f", m.kinds[i].request.Client, k.asked, k.share())
+				t.Logf("%s asked %d served %.2f", m.kinds[i].request.Account, k.asked, k.share())
 			}
 			require.GreaterOrEqual(t, m.tallies[0].share(), c.others)
 			require.GreaterOrEqual(t, m.tallies[1].share(), c.others)
@@ -92,7 +92,7 @@
 				for _, l := range c.loads {
 					for range m.poisson(l.rate(now) * tick.Seconds()) {
 						all++
-						if q.Asked(start.Add(now), l.request) {
+						if q.Arrived(start.Add(now), l.request) {
 							excess++
 						}
 					}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -70,12 +70,12 @@
 		Kind string
 		// Priority is the kind's priority; 0 is the most urgent.
 		Priority int
-		// Account is the priority of the request's client account, which outweighs
+		// AccountPriority is the priority of the request's client account, which outweighs
 		// the kind's.
-		Account int
-		// Client is the name of the account; empty if there is none.
-		Client string
-		// Excess reports whether Asked has counted the request as its account's
+		AccountPriority int
+		// Account is the name of the account; empty if there is none.
+		Account string
+		// Excess reports whether Arrived has counted the request as its account's
 		// excess.
 		Excess bool
 		// Objective is the time from the request's arrival within which the answer
@@ -131,34 +131,34 @@
 // NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{kinds: map[string]*kind{}, accounts: newAccounts()} }
 
-// Asked counts an arriving request, and reports whether it is its account's excess.
-func (q *Queue) Asked(now time.Time, r Request) (excess bool) {
+// Arrived counts an arriving request, and reports whether it is its account's excess.
+func (q *Queue) Arrived(now time.Time, r Request) (excess bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.kinds) >= maxKinds {
 		q.evict(now)
 	}
 	k := q.kind(r)
-	if excess = q.accounts.countRequest(now, r.Client); !excess {
+	if excess = q.accounts.countRequest(now, r.Account); !excess {
 		k.requested.Add(now)
 	}
 	return excess
 }
 
-// Served counts a request that got a place.
-func (q *Queue) Served(now time.Time, r Request) {
+// Admitted counts a request that got a place.
+func (q *Queue) Admitted(now time.Time, r Request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	k := q.kind(r)
 	k.placed.Add(now)
-	q.accounts.countServed(now, r.Client)
+	q.accounts.countServed(now, r.Account)
 	if !r.Excess {
 		k.served.Add(now)
 	}
 }
 
-// Began records how long an answer took to begin once its request had a place.
-func (q *Queue) Began(r Request, first time.Duration) {
+// ObserveLatency records how long an answer took to begin once its request had a place.
+func (q *Queue) ObserveLatency(r Request, first time.Duration) {
 	const sampleWeight = 0.05
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,10 +169,10 @@
 	k.startLatency += time.Duration(sampleWeight * float64(first-k.startLatency))
 }
 
-// Free reports whether an arriving request may look for a place at once: no request
+// MayTry reports whether an arriving request may look for a place at once: no request
 // waits, its kind is not served more than others, and it is no excess while places
 // are scarce.
-func (q *Queue) Free(now time.Time, r Request) bool {
+func (q *Queue) MayTry(now time.Time, r Request) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting) == 0 && !q.overserved(q.kind(r), now) && !(r.Excess && q.rejectsExcess(now))
@@ -207,7 +207,7 @@
 		}
 		left = minimum
 	}
-	w := &Waiter{kind: k, account: r.Account, excess: r.Excess, notBefore: now, until: now.Add(max(left, minimum)), turn: make(chan struct{}, 1)}
+	w := &Waiter{kind: k, account: r.AccountPriority, excess: r.Excess, notBefore: now, until: now.Add(max(left, minimum)), turn: make(chan struct{}, 1)}
 	if q.overserved(k, now) {
 		w.notBefore = now.Add(minimum / 2)
 	}
@@ -243,9 +243,9 @@
 	return false
 }
 
-// Offer starts a round, as a place may have become free. The first request in the
+// StartRound starts a round, as a place may have become free. The first request in the
 // order looks for one, then the next.
-func (q *Queue) Offer(now time.Time) {
+func (q *Queue) StartRound(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 || now.Sub(q.lastRound) < roundInterval {
@@ -256,16 +256,16 @@
 	q.signalNext()
 }
 
-// None records that a request has looked for a place and found none.
-func (q *Queue) None(now time.Time) {
+// NoPlace records that a request has looked for a place and found none.
+func (q *Queue) NoPlace(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lastNoPlace = now
 }
 
-// Pass gives the turn to the next request of the round, after one has looked for a
+// NextTurn gives the turn to the next request of the round, after one has looked for a
 // place.
-func (q *Queue) Pass() {
+func (q *Queue) NextTurn() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.signalNext()
@@ -288,8 +288,8 @@
 // Turn returns a channel that receives when the request may look for a place.
 func (w *Waiter) Turn() <-chan struct{} { return w.turn }
 
-// Until is when the request gives up.
-func (w *Waiter) Until() time.Time { return w.until }
+// Deadline is when the request gives up.
+func (w *Waiter) Deadline() time.Time { return w.until }
 
 func (q *Queue) signalNext() {
 	if len(q.round) == 0 {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -113,7 +113,7 @@
 	}
 	if ended > len(m.ends) || m.now%(5*tick) == 0 {
 		for _, q := range m.queues {
-			q.Offer(at)
+			q.StartRound(at)
 		}
 	}
 	m.turns()
@@ -125,13 +125,13 @@
 	if came == m.now && again == m.retries {
 		m.tallies[kind].asked++
 	}
-	r.Excess = q.Asked(at, r)
-	if q.Free(at, r) {
+	r.Excess = q.Arrived(at, r)
+	if q.MayTry(at, r) {
 		if len(m.ends) < m.places(m.now) {
 			m.take(node, kind, r, came)
 			return
 		}
-		q.None(at)
+		q.NoPlace(at)
 	}
 	w := q.Join(at, r)
 	if w != nil {
@@ -148,7 +148,7 @@
 
 func (m *model) take(node, kind int, r admission.Request, came time.Duration) {
 	k := m.kinds[kind]
-	m.queues[node].Served(start.Add(m.now), r)
+	m.queues[node].Admitted(start.Add(m.now), r)
 	m.ends = append(m.ends, m.now+time.Duration(m.random.ExpFloat64()*float64(k.hold)))
 	m.tallies[kind].served++
 	if m.now-came <= k.request.Objective {
@@ -171,9 +171,9 @@
 				m.take(w.node, w.kind, w.request, w.came)
 				m.leave(w)
 			} else {
-				m.queues[w.node].None(start.Add(m.now))
+				m.queues[w.node].NoPlace(start.Add(m.now))
 			}
-			m.queues[w.node].Pass()
+			m.queues[w.node].NextTurn()
 		}
 	}
 }
@@ -185,7 +185,7 @@
 
 func (m *model) expire() {
 	for _, w := range slices.Clone(m.waiting) {
-		if start.Add(m.now).Before(w.waiter.Until()) {
+		if start.Add(m.now).Before(w.waiter.Deadline()) {
 			continue
 		}
 		m.leave(w)
@@ -328,12 +328,12 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(5, 50).Draw(t, "ms")) * time.Millisecond)
 			r := rapid.SampledFrom(kinds).Draw(t, "kind")
-			q.Asked(now, r)
+			q.Arrived(now, r)
 			for range rapid.IntRange(0, 20).Draw(t, "served") {
-				q.Served(now, r)
+				q.Admitted(now, r)
 			}
 			if w := q.Join(now, r); w != nil {
-				require.False(t, w.Until().After(now.Add(r.Objective)))
+				require.False(t, w.Deadline().After(now.Add(r.Objective)))
 				list = append(list, w)
 			}
 			if len(list) > 0 && rapid.Bool().Draw(t, "leaves") {
@@ -342,14 +342,14 @@
 				list = slices.Delete(list, i, i+1)
 			}
 			require.Equal(t, len(list), q.Waiting())
-			q.Offer(now)
+			q.StartRound(now)
 			turns := 0
 			for range 2 * len(list) {
 				for _, w := range list {
 					select {
 					case <-w.Turn():
 						turns++
-						q.Pass()
+						q.NextTurn()
 					default:
 					}
 				}
@@ -362,14 +362,14 @@
 // Guards against requests of an account with priority that wait behind others.
 func TestAccountPriorityOutweighsKindPriority(t *testing.T) {
 	q := admission.NewQueue()
-	usual := admission.Request{Kind: "urgent", Account: 1, Objective: time.Second}
+	usual := admission.Request{Kind: "urgent", AccountPriority: 1, Objective: time.Second}
 	first := admission.Request{Kind: "later", Priority: 2, Objective: time.Second}
 	a, b := q.Join(start, usual), q.Join(start, first)
-	q.Offer(start)
+	q.StartRound(start)
 	require.Empty(t, a.Turn())
 	require.Len(t, b.Turn(), 1)
 	<-b.Turn()
-	q.Pass()
+	q.NextTurn()
 	require.Len(t, a.Turn(), 1)
 }
 
@@ -380,8 +380,8 @@
 	r := admission.Request{Kind: "a", Objective: 800 * time.Millisecond}
 	w := q.Join(start, r)
 	require.NotNil(t, w)
-	require.Equal(t, start.Add(100*time.Millisecond), w.Until())
-	q.None(start)
+	require.Equal(t, start.Add(100*time.Millisecond), w.Deadline())
+	q.NoPlace(start)
 	require.Nil(t, q.Join(start, r))
 }
 
@@ -391,7 +391,7 @@
 	q, now := admission.NewQueue(), start
 	for i := range 100_000 {
 		now = now.Add(100 * time.Millisecond)
-		q.Asked(now, admission.Request{Kind: fmt.Sprint("route", i), Objective: time.Second})
+		q.Arrived(now, admission.Request{Kind: fmt.Sprint("route", i), Objective: time.Second})
 	}
 	require.LessOrEqual(t, q.Kinds(), 1000)
 }
@@ -400,14 +400,14 @@
 func TestRequestWithoutAnObjectiveWaitsALittle(t *testing.T) {
 	w := admission.NewQueue().Join(start, admission.Request{Kind: "a"})
 	require.NotNil(t, w)
-	require.True(t, w.Until().After(start.Add(5*time.Millisecond)))
+	require.True(t, w.Deadline().After(start.Add(5*time.Millisecond)))
 }
 
 func BenchmarkQueue(b *testing.B) {
 	q := admission.NewQueue()
 	r := admission.Request{Kind: "a", Objective: time.Minute}
 	for range 100_000 {
-		q.Served(start, r)
+		q.Admitted(start, r)
 	}
 	for range 1000 {
 		q.Join(start, r)
@@ -415,6 +415,6 @@
 	now := start
 	for b.Loop() {
 		now = now.Add(10 * time.Millisecond)
-		q.Offer(now)
+		q.StartRound(now)
 	}
 }
--- a/internal/balance/announce_test.go
+++ b/internal/balance/announce_test.go
@@ -52,8 +52,8 @@
 	list := endpoints(1)
 	now := time.Now()
 	one, two := balance.New(balance.Config{Loads: noPeers{}}), balance.New(balance.Config{Loads: noPeers{}})
-	one.Reported(now, list[0].Start(), 20)
+	one.SetReportedLoad(now, list[0].Start(), 20)
 	late := now.Add(1200 * time.Millisecond)
-	two.ReportsHeard(late, one.Reports(late, now.Add(-time.Second)))
-	require.Zero(t, two.Busy(late, list[0], deployment.Service{}))
+	two.AddReports(late, one.Reports(late, now.Add(-time.Second)))
+	require.Zero(t, two.Utilization(late, list[0], deployment.Service{}))
 }
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -19,10 +19,10 @@
 	lastSent time.Time
 }
 
-// Rest records that an endpoint asks for no requests from this node for a time. A
+// Backoff records that an endpoint asks for no requests from this node for a time. A
 // shorter backoff does not end a longer one, nor does an answer to an earlier
 // request.
-func (b *Balancer) Rest(now time.Time, s deployment.Start, d time.Duration) {
+func (b *Balancer) Backoff(now time.Time, s deployment.Start, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := &b.state(s, now).backoff
@@ -32,8 +32,8 @@
 	}
 }
 
-// Takes records that an endpoint has accepted a request.
-func (b *Balancer) Takes(now time.Time, s deployment.Start) {
+// Accepted records that an endpoint has accepted a request.
+func (b *Balancer) Accepted(now time.Time, s deployment.Start) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if o := b.endpoints[s]; o != nil && !o.backoff.active(now) {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Resting returns when the first backoff ends, if all endpoints of a list that may be
+// BackingOff returns when the first backoff ends, if all endpoints of a list that may be
 // sent requests are in backoff, and reports false if one is not.
-func (b *Balancer) Resting(now time.Time, list ...*deployment.Endpoint) (first time.Time, all bool) {
+func (b *Balancer) BackingOff(now time.Time, list ...*deployment.Endpoint) (first time.Time, all bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range list {
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -24,14 +24,14 @@
 	}{
 		{name: "nothing else", ends: rest},
 		{name: "an answer to an earlier request", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
-			b.Takes(now.Add(time.Second), s)
+			b.Accepted(now.Add(time.Second), s)
 			b.Release(now.Add(time.Second), s, balance.Served)
 		}},
 		{name: "a slot that becomes free", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
 			b.Release(now.Add(time.Second), s, balance.Unknown)
 		}},
-		{name: "a shorter backoff", ends: rest, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, time.Second) }},
-		{name: "a longer backoff", ends: 5 * time.Second, at: func(b *balance.Balancer, s deployment.Start) { b.Rest(now.Add(time.Second), s, 4*time.Second) }},
+		{name: "a shorter backoff", ends: rest, at: func(b *balance.Balancer, s deployment.Start) { b.Backoff(now.Add(time.Second), s, time.Second) }},
+		{name: "a longer backoff", ends: 5 * time.Second, at: func(b *balance.Balancer, s deployment.Start) { b.Backoff(now.Add(time.Second), s, 4*time.Second) }},
 		{name: "state of unused endpoints is dropped", ends: rest, at: func(b *balance.Balancer, s deployment.Start) {
 			b.Release(now, s, balance.Refused)
 			b.Forget(now.Add(2*time.Second), time.Second)
@@ -45,14 +45,14 @@
 				r := balance.Request{Key: key}
 				first := b.Choose(now, list, r)
 				require.NotNil(t, first)
-				b.Rest(now, first.Endpoint.Start(), rest)
+				b.Backoff(now, first.Endpoint.Start(), rest)
 				if c.at != nil {
 					c.at(b, first.Endpoint.Start())
 				}
 				last := now.Add(c.ends - time.Millisecond)
 				require.Nil(t, b.Choose(last, list, r))
-				require.False(t, b.Room(last, list, r))
-				until, all := b.Resting(last, list...)
+				require.False(t, b.HasRoom(last, list, r))
+				until, all := b.BackingOff(last, list...)
 				require.True(t, all)
 				require.Equal(t, now.Add(c.ends), until)
 				b.Release(last, first.Endpoint.Start(), balance.Unknown)
@@ -70,7 +70,7 @@
 	b := balance.New(balance.Config{Loads: peers{}})
 	list := endpoints(2)
 	for _, e := range list {
-		b.Rest(now, e.Start(), time.Second)
+		b.Backoff(now, e.Start(), time.Second)
 	}
 	choose := func(at time.Time) (chosen []*balance.Choice) {
 		for range waiting {
@@ -83,9 +83,9 @@
 	now = now.Add(time.Second)
 	tried := choose(now)
 	require.Len(t, tried, len(list))
-	b.Rest(now, tried[0].Endpoint.Start(), time.Second)
+	b.Backoff(now, tried[0].Endpoint.Start(), time.Second)
 	b.Release(now, tried[0].Endpoint.Start(), balance.Refused)
-	b.Takes(now, tried[1].Endpoint.Start())
+	b.Accepted(now, tried[1].Endpoint.Start())
 	for _, c := range choose(now) {
 		require.Equal(t, tried[1].Endpoint, c.Endpoint)
 	}
@@ -107,13 +107,13 @@
 	for range 3 {
 		require.NotNil(t, b.Choose(now, list, balance.Request{}))
 	}
-	b.Rest(now, list[0].Start(), time.Second)
+	b.Backoff(now, list[0].Start(), time.Second)
 	now = now.Add(time.Second)
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
 	require.Nil(t, b.Choose(now, list, balance.Request{}), "one trial request")
 	now = now.Add(time.Second)
 	require.NotNil(t, b.Choose(now, list, balance.Request{}), "another trial request if the first is not answered")
-	b.Takes(now, list[0].Start())
+	b.Accepted(now, list[0].Start())
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
 }
 
@@ -122,7 +122,7 @@
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{}})
 	list := endpoints(1)
-	b.Rest(now, list[0].Start(), time.Hour)
+	b.Backoff(now, list[0].Start(), time.Hour)
 	require.Nil(t, b.Choose(now, list, balance.Request{}))
 	list[0].Born = now
 	require.NotNil(t, b.Choose(now, list, balance.Request{}))
@@ -134,12 +134,12 @@
 	now := time.Now()
 	b := balance.New(balance.Config{Loads: peers{"e0": 3, "e1": 3}})
 	list := endpoints(2)
-	r := balance.Request{Key: "prompt", Stay: true, Service: deployment.Service{Slots: 4}}
+	r := balance.Request{Key: "prompt", WaitForHolder: true, Service: deployment.Service{Slots: 4}}
 	first := b.Choose(now, list, r)
 	require.NotNil(t, first)
 	b.Sent(now, first)
 	b.Release(now, first.Endpoint.Start(), balance.Served)
-	b.Rest(now, first.Endpoint.Start(), time.Second)
+	b.Backoff(now, first.Endpoint.Start(), time.Second)
 	other := b.Choose(now, list, r)
 	require.NotNil(t, other)
 	require.NotEqual(t, first.Endpoint, other.Endpoint)
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// defaultLoadFactor is the default of Config.Cap: an endpoint may have that
+	// defaultLoadFactor is the default of Config.LoadFactor: an endpoint may have that
 	// multiple of the mean load plus three requests.
 	defaultLoadFactor = 2.0
 	// boundShare and boundSlack are the parts of that multiple and of the three
@@ -60,9 +60,9 @@
 		// Others returns the number of requests that other nodes have in progress at
 		// an endpoint, given by the Key of its Start.
 		Others(key uint32) int
-		// OthersReading returns the prompt tokens that the endpoint still has to
+		// OthersPrefill returns the prompt tokens that the endpoint still has to
 		// process for them.
-		OthersReading(key uint32) int
+		OthersPrefill(key uint32) int
 		// OthersFailures returns the number of other nodes' attempts that failed at
 		// the endpoint recently.
 		OthersFailures(key uint32) int
@@ -75,9 +75,9 @@
 		Loads Loads
 		// Zone is the node's own availability zone.
 		Zone string
-		// Cap is the greatest multiple of its service's mean load that an endpoint
+		// LoadFactor is the greatest multiple of its service's mean load that an endpoint
 		// may have; 0 means 2.
-		Cap float64
+		LoadFactor float64
 		// Nodes returns the number of nodes, including those that are unreachable;
 		// nil means that this is the only one.
 		Nodes func() int
@@ -110,14 +110,14 @@
 		Key string
 		// Tried are the endpoints that this request was sent to before.
 		Tried []deployment.Start
-		// Again allows one of Tried if no other endpoint has room: it has answered,
+		// AllowTried allows one of Tried if no other endpoint has room: it has answered,
 		// and a second answer may be better.
-		Again bool
-		// Repeats reports whether the request may run more than once.
-		Repeats bool
-		// Stay makes the request wait for an engine that holds its prompt rather than
+		AllowTried bool
+		// Repeatable reports whether the request may run more than once.
+		Repeatable bool
+		// WaitForHolder makes the request wait for an engine that holds its prompt rather than
 		// take one of the last slots of another engine.
-		Stay bool
+		WaitForHolder bool
 		// Objective is the time within which the answer should begin; 0 if there is
 		// none.
 		Objective time.Duration
@@ -142,16 +142,16 @@
 		Age time.Duration
 		// Ready is the number of endpoints to choose from.
 		Ready int
-		// Scarce reports whether the endpoint may be full by now without this node
+		// NearlyFull reports whether the endpoint may be full by now without this node
 		// knowing: other nodes may have sent it requests since their last report.
-		Scarce bool
+		NearlyFull bool
 		// Cold reports whether the endpoint sustains only a low request rate at
 		// present and may be slow.
 		Cold bool
 
-		// Reading is the expected time until the engine has processed the prompt,
+		// PrefillTime is the expected time until the engine has processed the prompt,
 		// including those of other requests that come first.
-		Reading time.Duration
+		PrefillTime time.Duration
 
 		placement Placement
 		// prefill is the number of tokens that the engine has to process for the
@@ -199,7 +199,7 @@
 	defer b.mu.Unlock()
 	all, mean := b.candidates(now, list, r)
 	c := b.pickWarmFirst(all, mean, r, now)
-	if c == nil && r.Again {
+	if c == nil && r.AllowTried {
 		r.Tried = nil
 		all, mean = b.candidates(now, list, r)
 		c = b.pickWarmFirst(all, mean, r, now)
@@ -215,7 +215,7 @@
 		part := xxhash.Sum64String(r.Key)
 		choice.First = first(part, list, nil)
 		choice.Source = b.holders.source(part, c, list, now)
-		choice.Scarce = c.nearlyFull()
+		choice.NearlyFull = c.nearlyFull()
 		choice.placement = Placement{Part: part, Endpoint: c.key}
 		b.estimatePrefill(choice, c, r)
 	}
@@ -249,7 +249,7 @@
 	defer b.mu.Unlock()
 	e := b.state(s, now)
 	e.active--
-	if o != Full {
+	if o != ReservationRefused {
 		// The slot of this request is free now.
 		e.health.noPlaceUntil = time.Time{}
 	}
@@ -285,8 +285,8 @@
 	return b.holders.announcements(now, since)
 }
 
-// Placed adds placements received from another node.
-func (b *Balancer) Placed(now time.Time, list []Placement) {
+// AddPlacements adds placements received from another node.
+func (b *Balancer) AddPlacements(now time.Time, list []Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range list {
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -26,8 +26,8 @@
 // startOf returns the only start of an endpoint.
 func startOf(id string) deployment.Start { return deployment.Start{ID: id} }
 
-// OthersReading implements balance.Loads: there is nothing to process.
-func (peers) OthersReading(uint32) int { return 0 }
+// OthersPrefill implements balance.Loads: there is nothing to process.
+func (peers) OthersPrefill(uint32) int { return 0 }
 
 // OthersFailures implements balance.Loads: nothing has failed.
 func (peers) OthersFailures(uint32) int { return 0 }
@@ -101,7 +101,7 @@
 	require.Equal(t, first.Endpoint, moved.Source)
 
 	receiver := balance.New(balance.Config{Loads: peers{}})
-	receiver.Placed(now, b.Placements(now, now))
+	receiver.AddPlacements(now, b.Placements(now, now))
 	elsewhere := receiver.Choose(now, list, balance.Request{Key: "doc", Tried: []deployment.Start{moved.Endpoint.Start()}})
 	require.Equal(t, moved.Endpoint, elsewhere.Source)
 }
@@ -222,22 +222,22 @@
 	list := endpoints(2)
 	now := time.Now()
 	one, two := balance.New(balance.Config{Loads: peers{}}), balance.New(balance.Config{Loads: peers{}})
-	one.Reported(now, startOf("e0"), 30)
-	two.ReportsHeard(now, one.Reports(now, now.Add(-time.Second)))
+	one.SetReportedLoad(now, startOf("e0"), 30)
+	two.AddReports(now, one.Reports(now, now.Add(-time.Second)))
 	for _, b := range []*balance.Balancer{one, two} {
 		for range 20 {
 			c := b.Choose(now, list, balance.Request{})
 			require.Equal(t, "e1", c.Endpoint.ID)
 			b.Release(now, startOf("e1"), balance.Served)
 		}
-		require.InDelta(t, 30.0/8, b.Busy(now, list[0], deployment.Service{}), 0.01)
+		require.InDelta(t, 30.0/8, b.Utilization(now, list[0], deployment.Service{}), 0.01)
 		// The report may be older than it seems: it ranks endpoints, and blocks none.
-		b.Reported(now, startOf("e1"), 40)
+		b.SetReportedLoad(now, startOf("e1"), 40)
 		c := b.Choose(now, list, balance.Request{})
 		require.Equal(t, "e0", c.Endpoint.ID)
 		b.Release(now, startOf("e0"), balance.Served)
 		later := now.Add(time.Second)
-		require.Zero(t, b.Busy(later, list[0], deployment.Service{}))
+		require.Zero(t, b.Utilization(later, list[0], deployment.Service{}))
 		counts := map[string]int{}
 		for range 100 {
 			c := b.Choose(later, list, balance.Request{})
@@ -269,7 +269,7 @@
 
 func (noPeers) Others(uint32) int { return 0 }
 
-func (noPeers) OthersReading(uint32) int { return 0 }
+func (noPeers) OthersPrefill(uint32) int { return 0 }
 
 // OthersFailures implements balance.Loads: nothing has failed.
 func (noPeers) OthersFailures(uint32) int { return 0 }
@@ -299,7 +299,7 @@
 			b := balance.New(balance.Config{Loads: loads})
 			require.Equal(t, "e0", send(b, now, list, balance.Request{Key: "doc"}).Endpoint.ID)
 			loads["e0"], loads["e1"] = 8, c.other
-			got := b.Choose(now, list, balance.Request{Key: "doc", Stay: c.stay})
+			got := b.Choose(now, list, balance.Request{Key: "doc", WaitForHolder: c.stay})
 			if c.want == "" {
 				require.Nil(t, got)
 				return
@@ -316,8 +316,8 @@
 	b := balance.New(balance.Config{Loads: peers{"e0": 6}})
 	require.NotNil(t, send(b, now, list, balance.Request{Key: "doc"}))
 	c := b.Choose(now, list, balance.Request{Key: "doc"})
-	require.True(t, c.Scarce)
-	b.Release(now, c.Endpoint.Start(), balance.Full)
+	require.True(t, c.NearlyFull)
+	b.Release(now, c.Endpoint.Start(), balance.ReservationRefused)
 	require.Nil(t, b.Choose(now, list, balance.Request{Key: "doc"}))
 	b.Release(now, c.Endpoint.Start(), balance.Served)
 	require.NotNil(t, b.Choose(now, list, balance.Request{Key: "doc"}))
--- a/internal/balance/candidate.go
+++ b/internal/balance/candidate.go
@@ -31,9 +31,9 @@
 	prefill int
 }
 
-// Room reports whether an endpoint other than the tried and the cold ones has room
+// HasRoom reports whether an endpoint other than the tried and the cold ones has room
 // for the request.
-func (b *Balancer) Room(now time.Time, list []*deployment.Endpoint, r Request) bool {
+func (b *Balancer) HasRoom(now time.Time, list []*deployment.Endpoint, r Request) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.ContainsFunc(list, func(e *deployment.Endpoint) bool {
@@ -96,10 +96,10 @@
 		if slices.Contains(r.Tried, e.Start()) {
 			continue
 		}
-		c := candidate{endpoint: e, key: key, load: load, slots: slots(e, r.Service), suspect: e.Replaced || failing.avoid(i, r.Repeats) || b.avoid(o, failures, now)}
+		c := candidate{endpoint: e, key: key, load: load, slots: slots(e, r.Service), suspect: e.Replaced || failing.avoid(i, r.Repeatable) || b.avoid(o, failures, now)}
 		c.blocked, c.cold = r.blocked(now, e, o, sent), b.cold(e, o, r.Service, now)
 		if r.Key != "" {
-			c.prefill = o.prefill + b.config.Loads.OthersReading(key)
+			c.prefill = o.prefill + b.config.Loads.OthersPrefill(key)
 			c.score, c.holds = score(part, e), b.holders.has(part, key, now) && !o.backoff.active(now)
 		}
 		all = append(all, c)
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -274,11 +274,11 @@
 			r := balance.Request{Service: engines(), Key: "doc", Prompt: balance.Prompt{Shared: 10_000}}
 			choice := send(b, now, list, r)
 			require.Equal(t, c.cold, choice.Cold)
-			b.Read(now, choice, 10*time.Second)
+			b.PrefillDone(now, choice, 10*time.Second)
 			b.Release(now, choice.Endpoint.Start(), balance.Served)
 			list[0].ColdUntil = time.Time{}
 			next := send(b, now, list, balance.Request{Service: engines(), Key: "other", Prompt: balance.Prompt{Shared: 10_000}})
-			require.Equal(t, c.cold, next.Reading == 0)
+			require.Equal(t, c.cold, next.PrefillTime == 0)
 		})
 	}
 }
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -28,7 +28,7 @@
 	switch outcome {
 	case Failed, Unreachable, Gone:
 		s.failures.Add(now)
-	case Served, Refused, Unknown, Full:
+	case Served, Refused, Unknown, ReservationRefused:
 	}
 }
 
--- a/internal/balance/failures_test.go
+++ b/internal/balance/failures_test.go
@@ -41,7 +41,7 @@
 
 func (*failureNode) Others(uint32) int { return 0 }
 
-func (*failureNode) OthersReading(uint32) int { return 0 }
+func (*failureNode) OthersPrefill(uint32) int { return 0 }
 
 // Age implements balance.Loads: all counts are new.
 func (*failureNode) Age(time.Time) time.Duration { return 0 }
@@ -92,7 +92,7 @@
 		}
 		n := f.nodes[f.random.IntN(len(f.nodes))]
 		repeats := f.random.IntN(2) == 0
-		r := balance.Request{Service: deployment.Service{Name: "s", Model: true}, Key: fmt.Sprint("part", f.random.IntN(500)), Repeats: repeats}
+		r := balance.Request{Service: deployment.Service{Name: "s", Model: true}, Key: fmt.Sprint("part", f.random.IntN(500)), Repeatable: repeats}
 		c := n.Choose(f.now, f.list, r)
 		if c == nil {
 			continue
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -37,8 +37,8 @@
 	Refused
 	// Unknown is an attempt that was abandoned for another reason.
 	Unknown
-	// Full is a reservation that was refused.
-	Full
+	// ReservationRefused is a reservation that was refused.
+	ReservationRefused
 	// Gone is an answer of another endpoint at the same address.
 	Gone
 )
@@ -81,7 +81,7 @@
 		h.gone = true
 	case Refused:
 		h.refusedUntil = now.Add(refusedBackoff)
-	case Full:
+	case ReservationRefused:
 		h.noPlaceUntil = now.Add(reservationBackoff)
 	case Unknown:
 	}
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -9,7 +9,7 @@
 func (b *Balancer) pick(all []candidate, m means, r Request) *candidate {
 	if r.Key != "" {
 		c := b.pickKeyed(all, m, r)
-		if r.Stay && c != nil && c.leavesHolders(all) {
+		if r.WaitForHolder && c != nil && c.leavesHolders(all) {
 			return nil
 		}
 		return c
@@ -53,7 +53,7 @@
 // bound is the load from which an endpoint is passed over. The mean that it is a
 // multiple of includes the endpoints of evacuated zones.
 func (b *Balancer) bound(m means) float64 {
-	return boundShare*cmp.Or(b.config.Cap, defaultLoadFactor)*m.all + boundSlack
+	return boundShare*cmp.Or(b.config.LoadFactor, defaultLoadFactor)*m.all + boundSlack
 }
 
 // leavesHolders reports whether the request would leave the engines that hold its
--- a/internal/balance/property_test.go
+++ b/internal/balance/property_test.go
@@ -42,7 +42,7 @@
 			if rapid.IntRange(0, 5).Draw(t, "rest") == 0 {
 				e := rapid.SampledFrom(list).Draw(t, "resting")
 				d := time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest ms")) * time.Millisecond
-				b.Rest(now, e.Start(), d)
+				b.Backoff(now, e.Start(), d)
 				if until := now.Add(d); until.After(rests[e.Start()]) {
 					rests[e.Start()] = until
 				}
@@ -57,8 +57,8 @@
 					r.Tried = append(r.Tried, e.Start())
 				}
 			}
-			b.Reported(now, list[0].Start(), rapid.IntRange(0, 60).Draw(t, "reported"))
-			room := b.Room(now, list, r)
+			b.SetReportedLoad(now, list[0].Start(), rapid.IntRange(0, 60).Draw(t, "reported"))
+			room := b.HasRoom(now, list, r)
 			c := b.Choose(now, list, r)
 			if c == nil {
 				continue
--- a/internal/balance/reading.go
+++ b/internal/balance/reading.go
@@ -35,10 +35,10 @@
 	Shared int
 }
 
-// Read records that an engine has processed a request's prompt, and how long that
+// PrefillDone records that an engine has processed a request's prompt, and how long that
 // took; 0 means that it will not process it. The time of a cold engine is ignored, as
 // it does not apply to warm ones.
-func (b *Balancer) Read(now time.Time, c *Choice, took time.Duration) {
+func (b *Balancer) PrefillDone(now time.Time, c *Choice, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(c.Endpoint.Start(), now).prefill -= c.prefill
@@ -48,9 +48,9 @@
 	c.prefill = 0
 }
 
-// Reading returns the number of prompt tokens that endpoints still have to process
+// PendingPrefill returns the number of prompt tokens that endpoints still have to process
 // for this node's requests, by the Key of the endpoint's Start.
-func (b *Balancer) Reading() map[uint32]int {
+func (b *Balancer) PendingPrefill() map[uint32]int {
 	return b.counts(func(o *endpointState) int { return o.prefill })
 }
 
@@ -72,7 +72,7 @@
 	if !c.holds {
 		choice.prefill += r.Prompt.Shared
 	}
-	choice.Reading = time.Duration(choice.backlog+choice.prefill) * b.prefillPerToken
+	choice.PrefillTime = time.Duration(choice.backlog+choice.prefill) * b.prefillPerToken
 }
 
 // avoidPrefillQueue returns an engine that would begin the answer much sooner than
--- a/internal/balance/reading_test.go
+++ b/internal/balance/reading_test.go
@@ -22,7 +22,7 @@
 // Age implements balance.Loads: all counts are new.
 func (pendingPrefill) Age(time.Time) time.Duration { return 0 }
 
-func (u pendingPrefill) OthersReading(key uint32) int {
+func (u pendingPrefill) OthersPrefill(key uint32) int {
 	for id, n := range u {
 		if startOf(id).Key() == key {
 			return n
@@ -37,9 +37,9 @@
 	b := balance.New(balance.Config{Loads: others})
 	now := time.Now()
 	c := send(b, now, list, balance.Request{Key: "rate", Prompt: balance.Prompt{Own: 4000}})
-	b.Read(now, c, 100*time.Millisecond)
+	b.PrefillDone(now, c, 100*time.Millisecond)
 	b.Release(now, c.Endpoint.Start(), balance.Served)
-	b.Placed(now, []balance.Placement{placement(t, list, holder)})
+	b.AddPlacements(now, []balance.Placement{placement(t, list, holder)})
 	return b
 }
 
@@ -93,7 +93,7 @@
 		others := pendingPrefill{list[busy].ID: 50_000, list[(busy+1)%8].ID: 40_000}
 		b := balance.New(balance.Config{Loads: others})
 		c := send(b, now, list, balance.Request{Key: "rate", Prompt: balance.Prompt{Own: 4000}})
-		b.Read(now, c, 100*time.Millisecond)
+		b.PrefillDone(now, c, 100*time.Millisecond)
 		b.Release(now, c.Endpoint.Start(), balance.Served)
 		got := b.Choose(now, list, balance.Request{Key: "new", Prompt: balance.Prompt{Own: 100, Shared: 8000}, Objective: 400 * time.Millisecond})
 		chosen[got.Endpoint.ID] = true
@@ -108,13 +108,13 @@
 	b := balance.New(balance.Config{Loads: pendingPrefill{}})
 	first := send(b, now, list, balance.Request{Key: "doc", Prompt: balance.Prompt{Own: 100, Shared: 900}})
 	key := first.Endpoint.Start().Key()
-	require.Equal(t, map[uint32]int{key: 1000}, b.Reading())
+	require.Equal(t, map[uint32]int{key: 1000}, b.PendingPrefill())
 	// The engine holds the part from now on.
 	second := send(b, now, list, balance.Request{Key: "doc", Prompt: balance.Prompt{Own: 200, Shared: 900}})
-	require.Equal(t, map[uint32]int{key: 1200}, b.Reading())
-	b.Read(now, first, 50*time.Millisecond)
-	b.Read(now, first, 0)
-	require.Equal(t, map[uint32]int{key: 200}, b.Reading())
-	b.Read(now, second, 0)
-	require.Empty(t, b.Reading())
+	require.Equal(t, map[uint32]int{key: 1200}, b.PendingPrefill())
+	b.PrefillDone(now, first, 50*time.Millisecond)
+	b.PrefillDone(now, first, 0)
+	require.Equal(t, map[uint32]int{key: 200}, b.PendingPrefill())
+	b.PrefillDone(now, second, 0)
+	require.Empty(t, b.PendingPrefill())
 }
--- a/internal/balance/reports.go
+++ b/internal/balance/reports.go
@@ -28,9 +28,9 @@
 
 func newReports() *reports { return &reports{local: map[uint32]report{}, latest: map[uint32]report{}} }
 
-// Reported records the number of requests, running and waiting, that an endpoint
+// SetReportedLoad records the number of requests, running and waiting, that an endpoint
 // reports.
-func (b *Balancer) Reported(now time.Time, s deployment.Start, load int) {
+func (b *Balancer) SetReportedLoad(now time.Time, s deployment.Start, load int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := report{load: load, at: now}
@@ -52,8 +52,8 @@
 	return recent
 }
 
-// ReportsHeard adds the reports received from another node.
-func (b *Balancer) ReportsHeard(now time.Time, list map[uint32]int) {
+// AddReports adds the reports received from another node.
+func (b *Balancer) AddReports(now time.Time, list map[uint32]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, load := range list {
@@ -61,9 +61,9 @@
 	}
 }
 
-// Busy returns the ratio of an endpoint's reported requests to its slots; 0 if it has
+// Utilization returns the ratio of an endpoint's reported requests to its slots; 0 if it has
 // reported nothing recently.
-func (b *Balancer) Busy(now time.Time, e *deployment.Endpoint, s deployment.Service) float64 {
+func (b *Balancer) Utilization(now time.Time, e *deployment.Endpoint, s deployment.Service) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return float64(b.reports.load(e.Start().Key(), now)) / float64(slots(e, s))
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -51,8 +51,8 @@
 		{
 			name: "it reported that it was full",
 			learn: func(b *balance.Balancer, old *deployment.Endpoint) {
-				b.Reported(now, old.Start(), 100)
-				b.ReportsHeard(now, map[uint32]int{old.Start().Key(): 100})
+				b.SetReportedLoad(now, old.Start(), 100)
+				b.AddReports(now, map[uint32]int{old.Start().Key(): 100})
 			},
 		},
 		{
@@ -61,7 +61,7 @@
 				for _, key := range []string{"a", "b", "doc"} {
 					peer := balance.New(balance.Config{Loads: peers{}})
 					send(peer, now, []*deployment.Endpoint{old}, balance.Request{Key: key})
-					b.Placed(now, peer.Placements(now, now))
+					b.AddPlacements(now, peer.Placements(now, now))
 				}
 			},
 		},
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -41,7 +41,7 @@
 	}
 	call := endpoint.Call{
 		Path: entry.PathChat, Type: "application/json", Body: s.body,
-		Chat: req.Chat, Priority: req.Priority, Deadline: req.Deadline, Once: req.Once,
+		Chat: req.Chat, Priority: req.Priority, Deadline: req.Deadline, Once: req.AtMostOnce,
 	}
 	k := work{view: v, account: a, request: req, call: call, stopWaiting: s.stopWaiting}
 	k.answer = func(w http.ResponseWriter, run *dispatch.Run) error { return h.answerChat(w, c, req, run) }
@@ -73,7 +73,7 @@
 	}
 	req.Service = service.Name
 	req.Model = c.Model
-	req.Once = req.Once || service.Once
+	req.AtMostOnce = req.AtMostOnce || service.Once
 	req.Input = size / bytesPerToken
 	req.Output = c.MaxTokens
 	if req.Output <= 0 {
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -52,12 +52,12 @@
 		return
 	}
 	req.Service = service.Name
-	req.Once = req.Once || service.Once
+	req.AtMostOnce = req.AtMostOnce || service.Once
 	req.Chat = strconv.FormatUint(req.ID, 16)
 	req.Output = 1
 	call := endpoint.Call{
 		Method: r.Method, Path: r.URL.RequestURI(), Type: r.Header.Get("Content-Type"), Body: s.body,
-		Header: forwardedHeaders(r.Header), Priority: req.Priority, Deadline: req.Deadline, Once: req.Once,
+		Header: forwardedHeaders(r.Header), Priority: req.Priority, Deadline: req.Deadline, Once: req.AtMostOnce,
 	}
 	h.run(w, r, work{view: v, account: a, request: req, call: call, stopWaiting: s.stopWaiting, answer: h.answerPlain})
 }
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -77,7 +77,7 @@
 	}
 	req.Hint = given
 	if s := r.Header.Get(HeaderOnce); s != "" {
-		req.Once, err = strconv.ParseBool(s)
+		req.AtMostOnce, err = strconv.ParseBool(s)
 		if err != nil {
 			return req, badRequest(errOnce)
 		}
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -58,9 +58,9 @@
 // run executes a request: directly, or with its ticket if it must not be
 // repeated.
 func (h *Handler) run(w http.ResponseWriter, r *http.Request, k work) {
-	k.request.Print = poison.Fingerprint(k.account.Name, []byte(k.call.Method), []byte(k.call.Path), k.call.Body)
+	k.request.Fingerprint = poison.Fingerprint(k.account.Name, []byte(k.call.Method), []byte(k.call.Path), k.call.Body)
 	w.Header().Set(HeaderRequest, strconv.FormatUint(k.request.ID, 16))
-	if k.request.Once {
+	if k.request.AtMostOnce {
 		h.runOnce(w, r, k)
 		return
 	}
@@ -118,7 +118,7 @@
 // needs one and did not run.
 func (h *Handler) writeRefusal(w http.ResponseWriter, k work, err error) once.State {
 	p := dispatchProblem(err)
-	if k.request.Once && p.ran == RanNot {
+	if k.request.AtMostOnce && p.ran == RanNot {
 		h.addTicket(w, k.account.Name)
 	}
 	p.write(w)
--- a/internal/caller/truncated.go
+++ b/internal/caller/truncated.go
@@ -55,7 +55,7 @@
 // forCopies adapts the problem for a request that must not be repeated. All copies of
 // the request get it, and sending it again with the same ticket runs nothing.
 func (p *problem) forCopies(req route.Request) *problem {
-	if !req.Once {
+	if !req.AtMostOnce {
 		return p
 	}
 	adapted := *p
--- a/internal/deployment/cold_test.go
+++ b/internal/deployment/cold_test.go
@@ -16,7 +16,7 @@
 
 func (noPeers) Others(uint32) int { return 0 }
 
-func (noPeers) OthersReading(uint32) int { return 0 }
+func (noPeers) OthersPrefill(uint32) int { return 0 }
 
 func (noPeers) OthersFailures(uint32) int { return 0 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -191,7 +191,7 @@
 		}
 		step := j.plan.Next(time.Now(), j.d.config.View())
 		switch step.Kind {
-		case route.StepAsk:
+		case route.StepPermit:
 			j.plan.Report(j.requestPermit(ctx, step))
 		case route.StepRun:
 			run, outcome := j.run(ctx, step)
@@ -218,7 +218,7 @@
 		ID:       j.permitID,
 		Endpoint: e.Name,
 		Tokens:   step.Tokens,
-		Retry:    step.Waited,
+		Retry:    step.Retry,
 		Lease:    time.Until(j.req.Deadline) + gate.LeaseSlack,
 		Suspect:  len(j.suspect().Endpoints),
 	}
@@ -240,7 +240,7 @@
 	e := step.Endpoint
 	if !j.available(e) {
 		j.d.releaseFailed(j.permitID)
-		return nil, route.OutcomeGone
+		return nil, route.OutcomeUnavailable
 	}
 	j.importCache(ctx, step.From, e)
 	call := j.call
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -15,10 +15,10 @@
 // outcomes maps the verdict of an owner to the outcome of a step.
 var outcomes = map[gate.Verdict]route.Outcome{
 	gate.Granted:  route.OutcomeGranted,
-	gate.Full:     route.OutcomeFull,
-	gate.Gone:     route.OutcomeGone,
+	gate.Full:     route.OutcomeDenied,
+	gate.Gone:     route.OutcomeUnavailable,
 	gate.NotOwner: route.OutcomeUnreachable,
-	gate.TooLate:  route.OutcomeLate,
+	gate.TooLate:  route.OutcomeDeadline,
 }
 
 // requestPermit requests a permit from the owner of an endpoint and adds it to
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -52,7 +52,7 @@
 // suspect returns the suspicion against the request: that of the current view,
 // merged with the job's own.
 func (j *job) suspect() kernel.Suspicion {
-	s := j.d.config.View().Suspects[j.req.Print]
+	s := j.d.config.View().Suspects[j.req.Fingerprint]
 	s, _ = s.Merge(j.suspicion.endpoints)
 	return s
 }
@@ -60,7 +60,7 @@
 // clear waits for the lease if the request is suspected. It returns a refusal if
 // the request is isolated or its deadline passes.
 func (j *job) clear(ctx context.Context) *Refusal {
-	for j.req.Print != 0 {
+	for j.req.Fingerprint != 0 {
 		s := j.suspect()
 		switch {
 		case s.Isolated():
@@ -79,7 +79,7 @@
 // acquire requests the lease from the node that grants it.
 func (j *job) acquire(ctx context.Context) bool {
 	v := j.d.config.View()
-	node, ok := poison.LeaseNode(j.req.Print, v.Nodes)
+	node, ok := poison.LeaseNode(j.req.Fingerprint, v.Nodes)
 	if !ok {
 		return false
 	}
@@ -91,7 +91,7 @@
 		j.releaseLease(false)
 	}
 	if s.lease.ID == 0 {
-		s.lease = poison.Lease{Fingerprint: j.req.Print, ID: j.d.base + j.d.serial.Add(1)}
+		s.lease = poison.Lease{Fingerprint: j.req.Fingerprint, ID: j.d.base + j.d.serial.Add(1)}
 	}
 	s.leaseNode = node
 	s.lease.Duration = time.Until(j.req.Deadline) + leaseTimeout
@@ -137,9 +137,9 @@
 	if ctx.Err() == nil {
 		j.d.config.Sink.Offer(kernel.EndpointFailed{Endpoint: e.Name})
 	}
-	if died && j.req.Print != 0 {
+	if died && j.req.Fingerprint != 0 {
 		j.suspicion.endpoints = append(j.suspicion.endpoints, e.Name)
-		j.d.config.Sink.Offer(poison.EndpointDied{Fingerprint: j.req.Print, Endpoint: e.Name})
+		j.d.config.Sink.Offer(poison.EndpointDied{Fingerprint: j.req.Fingerprint, Endpoint: e.Name})
 	}
 	j.releaseLease(died)
 }
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -63,7 +63,7 @@
 		d := dispatch.New(dispatch.Config{View: func() *kernel.View { return v }, PeerLeases: h})
 		defer d.Close()
 		for range 2 {
-			_, err := d.Do(t.Context(), route.Request{Service: "s", Print: content, Deadline: time.Now().Add(3 * time.Minute)}, endpoint.Call{})
+			_, err := d.Do(t.Context(), route.Request{Service: "s", Fingerprint: content, Deadline: time.Now().Add(3 * time.Minute)}, endpoint.Call{})
 			var refusal *dispatch.Refusal
 			require.ErrorAs(t, err, &refusal)
 			// The pool is empty, which a request finds out only once it has the lease.
@@ -122,7 +122,7 @@
 		d := dispatch.New(dispatch.Config{View: v.Load, PeerLeases: h, Leases: h.leases[nodes[0].Peer]})
 		defer d.Close()
 		for range 2 {
-			_, err := d.Do(t.Context(), route.Request{Service: "s", Print: content, Deadline: time.Now().Add(3 * time.Minute)}, endpoint.Call{})
+			_, err := d.Do(t.Context(), route.Request{Service: "s", Fingerprint: content, Deadline: time.Now().Add(3 * time.Minute)}, endpoint.Call{})
 			var refusal *dispatch.Refusal
 			require.ErrorAs(t, err, &refusal)
 			require.Equal(t, route.ReasonNoEndpoint, refusal.Reason)
--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -35,7 +35,7 @@
 func (c *call) admissionRequest() admission.Request {
 	r := admission.Request{Kind: c.route.Name, Priority: c.route.Priority, Objective: c.route.Objective}
 	if c.account != nil {
-		r.Account, r.Client, r.Excess = c.account.Priority, c.account.Name, c.progress.excess
+		r.AccountPriority, r.Account, r.Excess = c.account.Priority, c.account.Name, c.progress.excess
 	}
 	return r
 }
@@ -46,7 +46,7 @@
 		return nil, c.giveUp(reason)
 	}
 	q, began := c.queue(), time.Now()
-	if q.Free(began, c.admissionRequest()) {
+	if q.MayTry(began, c.admissionRequest()) {
 		if choice := c.choose(ctx, began); choice != nil {
 			return choice, nil
 		}
@@ -56,25 +56,25 @@
 		return nil, c.refuseNoSlot(began)
 	}
 	defer q.Leave(w)
-	if ref := c.backoffRefusal(w.Until()); ref != nil {
+	if ref := c.backoffRefusal(w.Deadline()); ref != nil {
 		return nil, ref
 	}
-	for time.Now().Before(w.Until()) {
+	for time.Now().Before(w.Deadline()) {
 		select {
 		case <-w.Turn():
 			choice := c.choose(ctx, began)
-			q.Pass()
+			q.NextTurn()
 			if choice != nil {
 				return choice, nil
 			}
 			if reason := c.blockedReason(); reason != "" {
 				return nil, c.giveUp(reason)
 			}
-			if ref := c.backoffRefusal(w.Until()); ref != nil {
+			if ref := c.backoffRefusal(w.Deadline()); ref != nil {
 				return nil, ref
 			}
 		case <-time.After(pollInterval):
-			q.Offer(time.Now())
+			q.StartRound(time.Now())
 		case <-ctx.Done():
 			return nil, c.giveUp(reasonTimeout)
 		}
@@ -89,11 +89,11 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		choice := h.Balancer.Choose(now, c.endpoints(), balance.Request{
-			Service: c.service, Key: c.promptKey, Tried: c.progress.tried, Again: c.fallback != nil, Repeats: c.canRetry(), Stay: now.Before(stay),
+			Service: c.service, Key: c.promptKey, Tried: c.progress.tried, AllowTried: c.fallback != nil, Repeatable: c.canRetry(), WaitForHolder: now.Before(stay),
 			Objective: c.route.Objective, Prompt: c.prompt,
 		})
 		if choice == nil {
-			c.queue().None(now)
+			c.queue().NoPlace(now)
 			return nil
 		}
 		if c.reserve(ctx, choice) {
@@ -109,7 +109,7 @@
 func (c *call) countAdmitted(now time.Time) {
 	if !c.progress.admitted {
 		c.progress.admitted = true
-		c.queue().Served(now, c.admissionRequest())
+		c.queue().Admitted(now, c.admissionRequest())
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -85,7 +85,7 @@
 		return a.notRun(x)
 	}
 	if !http1.Refuses(a.status) {
-		c.handler.config.Balancer.Takes(time.Now(), a.choice.Endpoint.Start())
+		c.handler.config.Balancer.Accepted(time.Now(), a.choice.Endpoint.Start())
 	}
 	switch {
 	case !a.valid(x.Response):
@@ -240,7 +240,7 @@
 		return a.classify(err)
 	}
 	a.latency = time.Since(a.started)
-	c.queue().Began(c.admissionRequest(), a.latency)
+	c.queue().ObserveLatency(c.admissionRequest(), a.latency)
 	if len(body) > maxBuffered {
 		if timer != nil {
 			// The endpoint is responding, and no other could continue its response.
@@ -338,7 +338,7 @@
 	if a.notice.Rest > 0 {
 		f["rest_ms"] = a.notice.Rest.Milliseconds()
 	}
-	if reading := a.choice.Reading; reading > 0 {
+	if reading := a.choice.PrefillTime; reading > 0 {
 		f["reading_ms"] = reading.Milliseconds()
 	}
 	if a.reserved {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -87,7 +87,7 @@
 	if now == nil || !now.Takes() {
 		return false
 	}
-	_, rests := h.Balancer.Resting(time.Now(), now)
+	_, rests := h.Balancer.BackingOff(time.Now(), now)
 	return !rests
 }
 
@@ -95,7 +95,7 @@
 // all endpoints have asked for a backoff beyond it; otherwise nil.
 func (c *call) backoffRefusal(until time.Time) *refusal {
 	now := time.Now()
-	first, all := c.handler.config.Balancer.Resting(now, c.endpoints()...)
+	first, all := c.handler.config.Balancer.BackingOff(now, c.endpoints()...)
 	if !all || !first.After(until) {
 		return nil
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -91,7 +91,7 @@
 
 func (noLoads) Others(uint32) int { return 0 }
 
-func (noLoads) OthersReading(uint32) int { return 0 }
+func (noLoads) OthersPrefill(uint32) int { return 0 }
 
 // OthersFailures implements balance.Loads: no attempt has failed.
 func (noLoads) OthersFailures(uint32) int { return 0 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -47,6 +47,6 @@
 		h.Deployment.Leaving(e.Start(), sourceAnswer)
 	}
 	if n.Rest > 0 {
-		h.Balancer.Rest(time.Now(), e.Start(), n.Rest)
+		h.Balancer.Backoff(time.Now(), e.Start(), n.Rest)
 	}
 }
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -102,7 +102,7 @@
 // next free slot of any engine. The engine itself grants each slot only once.
 func (c *call) reserve(ctx context.Context, choice *balance.Choice) bool {
 	h, start := c.handler.config, choice.Endpoint.Start()
-	if !c.service.Model || !choice.Scarce || !c.handler.reservations.supported(start, time.Now()) {
+	if !c.service.Model || !choice.NearlyFull || !c.handler.reservations.supported(start, time.Now()) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
@@ -113,7 +113,7 @@
 	c.applyNotice(choice.Endpoint, place.Notice)
 	if errors.Is(err, ErrFull) {
 		c.progress.full++
-		h.Balancer.Release(time.Now(), start, balance.Full)
+		h.Balancer.Release(time.Now(), start, balance.ReservationRefused)
 		return false
 	}
 	if place.Notice.Leaving {
@@ -128,7 +128,7 @@
 		c.log("reserve.failed", decision.Fields{"endpoint": choice.Endpoint.ID, "error": err.Error()})
 	}
 	if err == nil {
-		h.Balancer.Takes(time.Now(), start)
+		h.Balancer.Accepted(time.Now(), start)
 	}
 	c.reservation = place.Name
 	return true
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -34,7 +34,7 @@
 
 func (o others) Others(uint32) int { return int(o) }
 
-func (others) OthersReading(uint32) int { return 0 }
+func (others) OthersPrefill(uint32) int { return 0 }
 
 // OthersFailures implements balance.Loads: no attempt has failed.
 func (others) OthersFailures(uint32) int { return 0 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -44,7 +44,7 @@
 		return
 	}
 	h.Budget.Request(c.started, c.service.Name)
-	c.progress.excess = c.queue().Asked(c.started, c.admissionRequest())
+	c.progress.excess = c.queue().Arrived(c.started, c.admissionRequest())
 	for try := 0; ; try++ {
 		choice, ref := c.acquire(ctx)
 		if ref != nil {
@@ -108,7 +108,7 @@
 
 // otherHasRoom reports whether an endpoint other than s has room for the call.
 func (c *call) otherHasRoom(s deployment.Start) bool {
-	return c.handler.config.Balancer.Room(time.Now(), c.endpoints(), balance.Request{
+	return c.handler.config.Balancer.HasRoom(time.Now(), c.endpoints(), balance.Request{
 		Service: c.service, Key: c.promptKey, Tried: append(slices.Clone(c.progress.tried), s),
 	})
 }
@@ -121,9 +121,9 @@
 	a := &attempt{call: c, choice: choice, outcome: balance.Unknown, started: time.Now()}
 	res := resultBroken
 	defer func() {
-		c.handler.config.Balancer.Read(time.Now(), choice, 0)
+		c.handler.config.Balancer.PrefillDone(time.Now(), choice, 0)
 		c.handler.config.Balancer.Release(time.Now(), choice.Endpoint.Start(), a.outcome)
-		c.queue().Offer(time.Now())
+		c.queue().StartRound(time.Now())
 		c.handler.config.Metrics.attempted(a, res)
 		c.log("attempt", a.fields(res))
 	}()
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -83,8 +83,8 @@
 // Nor is a prompt that an engine has yet to read: a long one would be abandoned at
 // a slow engine, and read again from its beginning at the next.
 func (a *attempt) busyTimeout(stall time.Duration) time.Duration {
-	busy := a.call.handler.config.Balancer.Busy(time.Now(), a.choice.Endpoint, a.call.service)
-	return max(time.Duration(float64(stall)*max(busy, 1)), prefillFactor*a.choice.Reading)
+	busy := a.call.handler.config.Balancer.Utilization(time.Now(), a.choice.Endpoint, a.call.service)
+	return max(time.Duration(float64(stall)*max(busy, 1)), prefillFactor*a.choice.PrefillTime)
 }
 
 // reportLoad reports an endpoint's load, the sum of its running and waiting
@@ -101,5 +101,5 @@
 		return
 	}
 	a.load = running + waiting
-	h.Balancer.Reported(time.Now(), a.choice.Endpoint.Start(), a.load)
+	h.Balancer.SetReportedLoad(time.Now(), a.choice.Endpoint.Start(), a.load)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,8 +40,8 @@
 		}
 		if a.latency == 0 {
 			a.latency = time.Since(a.started)
-			c.queue().Began(c.admissionRequest(), a.latency)
-			c.handler.config.Balancer.Read(time.Now(), a.choice, a.latency)
+			c.queue().ObserveLatency(c.admissionRequest(), a.latency)
+			c.handler.config.Balancer.PrefillDone(time.Now(), a.choice, a.latency)
 		}
 		if ev.HasID && ev.ID <= c.progress.lastEvent && c.progress.events > 0 {
 			continue
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -71,20 +71,20 @@
 	Work interface {
 		// Active returns this node's requests in progress by endpoint.
 		Active() map[uint32]int
-		// Reading returns the prompt tokens of these requests that endpoints have
+		// PendingPrefill returns the prompt tokens of these requests that endpoints have
 		// yet to process.
-		Reading() map[uint32]int
+		PendingPrefill() map[uint32]int
 		// Failures returns this node's recently failed attempts by endpoint.
 		Failures(now time.Time) map[uint32]int
 		// Placements returns where this node has sent parts of prompts after since,
-		// and always the most recent ones. Placed adds those reported by another
+		// and always the most recent ones. AddPlacements adds those reported by another
 		// node.
 		Placements(now, since time.Time) []balance.Placement
-		Placed(now time.Time, list []balance.Placement)
+		AddPlacements(now time.Time, list []balance.Placement)
 		// Reports returns the loads that endpoints have reported to this node after
-		// since. ReportsHeard adds those reported by another node.
+		// since. AddReports adds those reported by another node.
 		Reports(now, since time.Time) map[uint32]int
-		ReportsHeard(now time.Time, list map[uint32]int)
+		AddReports(now time.Time, list map[uint32]int)
 	}
 
 	// Config is the settings of a Gossip.
@@ -249,9 +249,9 @@
 // Others returns the requests in progress at an endpoint that other nodes sent.
 func (g *Gossip) Others(key uint32) int { return g.View().Others(key) }
 
-// OthersReading returns the prompt tokens of other nodes' requests that an
+// OthersPrefill returns the prompt tokens of other nodes' requests that an
 // endpoint has yet to process.
-func (g *Gossip) OthersReading(key uint32) int { return g.View().OthersReading(key) }
+func (g *Gossip) OthersPrefill(key uint32) int { return g.View().OthersPrefill(key) }
 
 // OthersFailures returns the recently failed attempts of other nodes at an
 // endpoint.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -179,7 +179,7 @@
 	return maps.Clone(w.failures)
 }
 
-func (w *fakeWork) Reading() map[uint32]int {
+func (w *fakeWork) PendingPrefill() map[uint32]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.reading)
@@ -191,7 +191,7 @@
 	return w.placements
 }
 
-func (w *fakeWork) Placed(_ time.Time, list []balance.Placement) {
+func (w *fakeWork) AddPlacements(_ time.Time, list []balance.Placement) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.receivedPlacements = list
@@ -203,7 +203,7 @@
 	return maps.Clone(w.reports)
 }
 
-func (w *fakeWork) ReportsHeard(_ time.Time, list map[uint32]int) {
+func (w *fakeWork) AddReports(_ time.Time, list map[uint32]int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.receivedReports = list
@@ -274,7 +274,7 @@
 		require.Equal(t, 4, n.gossip.View().Known)
 	}
 	f.eventually(func() bool { return list[0].gossip.Others(4) == 4 }, "loads propagate")
-	f.eventually(func() bool { return list[0].gossip.OthersReading(4) == 400 }, "unprocessed tokens propagate")
+	f.eventually(func() bool { return list[0].gossip.OthersPrefill(4) == 400 }, "unprocessed tokens propagate")
 	list[3].work.setFailures(map[uint32]int{4: 7})
 	f.eventually(func() bool { return list[0].gossip.OthersFailures(4) == 7 }, "failures propagate")
 	list[3].gossip.Close()
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -107,10 +107,10 @@
 		g.config.Book.LeavingHeard(b.Leaving, source)
 	}
 	if len(b.EndpointLoads) > 0 {
-		g.config.Work.ReportsHeard(now, b.EndpointLoads)
+		g.config.Work.AddReports(now, b.EndpointLoads)
 	}
 	if len(b.Placements) > 0 {
-		g.config.Work.Placed(now, b.Placements)
+		g.config.Work.AddPlacements(now, b.Placements)
 	}
 }
 
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -93,7 +93,7 @@
 	return &heartbeat{
 		ID: g.config.Self.Incarnation, Sequence: l.sequence, Epoch: at.Epoch, Revision: at.Revision,
 		State: g.config.State(), Access: g.config.Book.Access(),
-		Loads: g.config.Work.Active(), Reading: g.config.Work.Reading(), Failures: g.config.Work.Failures(now), Contacts: l.contacts(contactsPerHeartbeat), Crashes: l.crashes(now),
+		Loads: g.config.Work.Active(), Reading: g.config.Work.PendingPrefill(), Failures: g.config.Work.Failures(now), Contacts: l.contacts(contactsPerHeartbeat), Crashes: l.crashes(now),
 		// Each placement is sent twice, as datagrams get lost.
 		Placements: g.config.Work.Placements(now, t.previous), EndpointLoads: g.config.Work.Reports(now, t.last),
 		Leaving: g.config.Book.Announced(now.Add(-repeatLeavingFor)),
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -96,9 +96,9 @@
 // Others returns the requests in progress at an endpoint that other nodes sent.
 func (v *View) Others(key uint32) int { return v.loads[key] }
 
-// OthersReading returns the prompt tokens of other nodes' requests that an
+// OthersPrefill returns the prompt tokens of other nodes' requests that an
 // endpoint has yet to process.
-func (v *View) OthersReading(key uint32) int { return v.reading[key] }
+func (v *View) OthersPrefill(key uint32) int { return v.reading[key] }
 
 // OthersFailures returns the recently failed attempts of other nodes at an
 // endpoint.
--- a/internal/operator/log.go
+++ b/internal/operator/log.go
@@ -30,6 +30,6 @@
 func (l Log) line(r dispatch.Record) logrus.FieldLogger {
 	return l.To.WithFields(logrus.Fields{
 		"request": strconv.FormatUint(r.Request.ID, 16), "chat": r.Request.Chat, "account": r.Request.Account,
-		"endpoint": r.Step.Endpoint.Name, "attempt": r.Attempt, "once": r.Request.Once,
+		"endpoint": r.Step.Endpoint.Name, "attempt": r.Attempt, "once": r.Request.AtMostOnce,
 	})
 }
--- a/internal/operator/page_test.go
+++ b/internal/operator/page_test.go
@@ -26,8 +26,8 @@
 	m.PlatformRead("accepted", errors.New("down"))
 	m.Beat(nil)
 	m.Fetch(nil)
-	m.Record(dispatch.Record{Step: route.Step{Kind: route.StepAsk}})
-	m.Record(dispatch.Record{Outcome: route.OutcomeFull})
+	m.Record(dispatch.Record{Step: route.Step{Kind: route.StepPermit}})
+	m.Record(dispatch.Record{Outcome: route.OutcomeDenied})
 	m.Record(dispatch.Record{Outcome: route.OutcomeLost})
 	for _, status := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		m.Observe(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -145,8 +145,8 @@
 	m.PlatformRead("accepted", errors.New("down"))
 	m.Beat(nil)
 	m.Fetch(nil)
-	m.Record(dispatch.Record{Step: route.Step{Kind: route.StepAsk}})
-	m.Record(dispatch.Record{Outcome: route.OutcomeFull})
+	m.Record(dispatch.Record{Step: route.Step{Kind: route.StepPermit}})
+	m.Record(dispatch.Record{Outcome: route.OutcomeDenied})
 	m.Record(dispatch.Record{Outcome: route.OutcomeLost})
 	var text bytes.Buffer
 	m.Write(&text)
@@ -245,8 +245,8 @@
 	record := func(after time.Duration, s route.Step, o route.Outcome) {
 		traces.Record(dispatch.Record{Time: now.Add(after), Request: req, Step: s, Outcome: o, Attempt: "f1"})
 	}
-	record(0, route.Step{Kind: route.StepAsk, Endpoint: e}, 0)
-	record(0, route.Step{Kind: route.StepAsk, Endpoint: e}, route.OutcomeFull)
+	record(0, route.Step{Kind: route.StepPermit, Endpoint: e}, 0)
+	record(0, route.Step{Kind: route.StepPermit, Endpoint: e}, route.OutcomeDenied)
 	record(time.Millisecond, route.Step{Kind: route.StepWait, Until: now.Add(21 * time.Millisecond)}, 0)
 	for range 100 {
 		record(0, route.Step{Kind: route.StepWait, Until: now}, 0)
@@ -282,8 +282,8 @@
 	log.SetFormatter(&logrus.JSONFormatter{})
 	l := operator.Log{To: log}
 	req := route.Request{ID: 0xabc, Account: "a1", Chat: "a1/x", Service: "engines"}
-	l.Record(dispatch.Record{Request: req, Step: route.Step{Kind: route.StepAsk}})
-	l.Record(dispatch.Record{Request: req, Step: route.Step{Kind: route.StepAsk}, Outcome: route.OutcomeFull})
+	l.Record(dispatch.Record{Request: req, Step: route.Step{Kind: route.StepPermit}})
+	l.Record(dispatch.Record{Request: req, Step: route.Step{Kind: route.StepPermit}, Outcome: route.OutcomeDenied})
 	require.Empty(t, text.String())
 	step := route.Step{Kind: route.StepRun, Endpoint: kernel.Endpoint{Name: "w1"}}
 	l.Record(dispatch.Record{Request: req, Step: step, Outcome: route.OutcomeLost, Attempt: "f1"})
@@ -306,7 +306,7 @@
 	for id := uint64(0); b.Loop(); id++ {
 		rec := dispatch.Record{
 			Time: now, Request: route.Request{ID: id, Account: "a1", Chat: "a1/x"},
-			Step: route.Step{Kind: route.StepAsk, Endpoint: e}, Attempt: "f1",
+			Step: route.Step{Kind: route.StepPermit, Endpoint: e}, Attempt: "f1",
 		}
 		recorders.Record(rec)
 		rec.Outcome = route.OutcomeGranted
--- a/internal/operator/trace.go
+++ b/internal/operator/trace.go
@@ -18,10 +18,10 @@
 
 var (
 	stepNames = map[route.StepKind]string{
-		route.StepAsk: "ask", route.StepRun: "run", route.StepWait: "wait", route.StepRefuse: "refuse",
+		route.StepPermit: "ask", route.StepRun: "run", route.StepWait: "wait", route.StepRefuse: "refuse",
 	}
 	outcomeNames = map[route.Outcome]string{
-		route.OutcomeGranted: "granted", route.OutcomeFull: "full", route.OutcomeGone: "gone",
+		route.OutcomeGranted: "granted", route.OutcomeDenied: "full", route.OutcomeUnavailable: "gone",
 		route.OutcomeUnreachable: "unreachable", route.OutcomeNotRun: "not_run", route.OutcomeLost: "lost",
 	}
 )
@@ -137,7 +137,7 @@
 	trace := &Trace{
 		ID: strconv.FormatUint(req.ID, 16), id: req.ID,
 		Account: req.Account, Chat: req.Chat, Service: req.Service, Model: req.Model,
-		Once: req.Once, Priority: req.Priority, Began: now, Deadline: req.Deadline,
+		Once: req.AtMostOnce, Priority: req.Priority, Began: now, Deadline: req.Deadline,
 		Hint: req.Hint.String(),
 	}
 	t.ring[t.next] = trace
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -41,27 +41,27 @@
 	{
 		Name:        "round",
 		Description: "round robin",
-		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: &roundRobin{}, Open: true} },
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: &roundRobin{}, NoPermits: true} },
 		Poll:        true,
 	},
 	{
 		Name:        "two",
 		Description: "two random choices on lagged load",
 		Route: func(r *rand.Rand) route.Config {
-			return route.Config{Ranker: &twoChoices{random: r}, Open: true}
+			return route.Config{Ranker: &twoChoices{random: r}, NoPermits: true}
 		},
 		Poll: true,
 	},
 	{
 		Name:        "hash",
 		Description: "consistent hashing",
-		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: chatHash{}, Open: true} },
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: chatHash{}, NoPermits: true} },
 		Poll:        true,
 	},
 	{
 		Name:        "bounded",
 		Description: "consistent hashing with bounded lagged load",
-		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: boundedHash{}, Open: true} },
+		Route:       func(*rand.Rand) route.Config { return route.Config{Ranker: boundedHash{}, NoPermits: true} },
 		Poll:        true,
 	},
 }
--- a/internal/replay/job.go
+++ b/internal/replay/job.go
@@ -68,7 +68,7 @@
 	j := &job{sim: s, node: n, index: i, event: e}
 	j.request = route.Request{
 		ID: uint64(i) + 1, Account: e.Account, Chat: e.Chat, Service: e.Model, Model: e.Model, Zone: n.zone,
-		Input: e.Prefix + e.Input, Output: outputLimit(e.Output), Once: e.Once, Priority: e.Priority,
+		Input: e.Prefix + e.Input, Output: outputLimit(e.Output), AtMostOnce: e.Once, Priority: e.Priority,
 		Deadline: deadline, Hint: s.hints[e.Chat],
 	}
 	s.queue.after(callerDelay, func() { j.begin(deadline) })
@@ -145,7 +145,7 @@
 	s := j.sim
 	step := j.plan.Next(s.time(), j.node.view())
 	switch step.Kind {
-	case route.StepAsk:
+	case route.StepPermit:
 		j.requestPermit(step)
 	case route.StepRun:
 		j.start(step.Endpoint, step.From.Name)
--- a/internal/replay/permit.go
+++ b/internal/replay/permit.go
@@ -14,7 +14,7 @@
 	j.permit = s.attempts
 	owner := step.Endpoint.Owner
 	request := gate.Request{
-		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Retry: step.Waited,
+		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Retry: step.Retry,
 		Lease: j.request.Deadline.Sub(s.time()) + leaseSlack,
 	}
 	batch := gate.Batch{Requests: []gate.Request{request}, Releases: n.holder.TakeReleases(owner), OwnedLoad: n.gate.OwnedLoad(s.time(), request.Endpoint)}
@@ -87,11 +87,11 @@
 	case gate.Granted:
 		return route.OutcomeGranted
 	case gate.Full:
-		return route.OutcomeFull
+		return route.OutcomeDenied
 	case gate.Gone:
-		return route.OutcomeGone
+		return route.OutcomeUnavailable
 	case gate.TooLate:
-		return route.OutcomeLate
+		return route.OutcomeDeadline
 	default:
 		return route.OutcomeUnreachable
 	}
--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -15,7 +15,7 @@
 // dispatch grants the plan's permit request and returns the step after it.
 func dispatch(t *testing.T, p *route.Plan, now time.Time, v *kernel.View) route.Step {
 	t.Helper()
-	require.Equal(t, route.StepAsk, p.Next(now, v).Kind)
+	require.Equal(t, route.StepPermit, p.Next(now, v).Kind)
 	p.Report(route.OutcomeGranted)
 	return p.Next(now, v)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -12,8 +12,8 @@
 
 // Kinds of steps.
 const (
-	// StepAsk requests a permit from the owner of an endpoint.
-	StepAsk StepKind = iota + 1
+	// StepPermit requests a permit from the owner of an endpoint.
+	StepPermit StepKind = iota + 1
 	// StepRun dispatches the request to an endpoint.
 	StepRun
 	// StepWait waits; the driver then calls Next again.
@@ -26,12 +26,12 @@
 const (
 	// OutcomeGranted is a permit that was granted.
 	OutcomeGranted Outcome = iota + 1
-	// OutcomeFull is a permit that was denied because of the bound.
-	OutcomeFull
-	// OutcomeGone is an endpoint that takes no work.
-	OutcomeGone
-	// OutcomeLate is a request that cannot be done before its deadline.
-	OutcomeLate
+	// OutcomeDenied is a permit that was denied because of the bound.
+	OutcomeDenied
+	// OutcomeUnavailable is an endpoint that takes no work.
+	OutcomeUnavailable
+	// OutcomeDeadline is a request that cannot be done before its deadline.
+	OutcomeDeadline
 	// OutcomeUnreachable is an owner that did not answer.
 	OutcomeUnreachable
 	// OutcomeNotRun is a dispatch that certainly did not reach the endpoint.
@@ -102,12 +102,12 @@
 		Zone    string
 		// Input is the number of tokens of the whole prompt, Output the greatest
 		// number of tokens of the answer.
-		Input    int
-		Output   int
-		Once     bool
-		Priority int
-		Deadline time.Time
-		Hint     hint.Hint
+		Input      int
+		Output     int
+		AtMostOnce bool
+		Priority   int
+		Deadline   time.Time
+		Hint       hint.Hint
 		// Cached is the number of tokens of the prompt that each endpoint probably
 		// holds, by name. The Router sets it.
 		Cached map[string]int
@@ -115,9 +115,9 @@
 		// relative to that of computing it; 0 if the endpoints cannot import. The
 		// Router sets it.
 		Import float64
-		// Print is the fingerprint of the request's content, the same in the whole
+		// Fingerprint is the fingerprint of the request's content, the same in the whole
 		// fleet; 0 if unknown.
-		Print uint64
+		Fingerprint uint64
 	}
 
 	// Step is what the driver of a Plan does next.
@@ -127,10 +127,10 @@
 		// From is the endpoint from which a StepRun first imports the chat's prefix;
 		// its name is empty if there is nothing to import.
 		From kernel.Endpoint
-		// Waited is set on a StepAsk after several permit requests without success:
+		// Retry is set on a StepPermit after several permit requests without success:
 		// the request may then use the margin below the bound.
-		Waited bool
-		// Tokens is the work for which a StepAsk requests a permit.
+		Retry bool
+		// Tokens is the work for which a StepPermit requests a permit.
 		Tokens int
 		// Until is the end of a StepWait.
 		Until time.Time
@@ -177,7 +177,7 @@
 	switch {
 	case p.granted:
 		return p.run(v.Pools[p.request.Service])
-	case p.lost && p.request.Once:
+	case p.lost && p.request.AtMostOnce:
 		return refuse(ReasonLost)
 	case p.attempts >= maxAttempts:
 		return refuse(ReasonAttempts)
@@ -202,12 +202,12 @@
 	}
 	p.endpoint = e
 	p.permitRequests++
-	if p.router.config.Open {
+	if p.router.config.NoPermits {
 		return p.run(pool)
 	}
 	return Step{
-		Kind: StepAsk, Endpoint: e, Tokens: p.router.workTokens(pool, p.request, e.Name),
-		Waited: p.failedRounds > 0 || p.permitRequests > marginRequests,
+		Kind: StepPermit, Endpoint: e, Tokens: p.router.workTokens(pool, p.request, e.Name),
+		Retry: p.failedRounds > 0 || p.permitRequests > marginRequests,
 	}
 }
 
@@ -234,15 +234,15 @@
 	switch o {
 	case OutcomeGranted:
 		p.granted = true
-	case OutcomeFull:
+	case OutcomeDenied:
 		p.tried[p.endpoint.Name] = true
 		p.denials++
-	case OutcomeGone, OutcomeUnreachable:
+	case OutcomeUnavailable, OutcomeUnreachable:
 		p.tried[p.endpoint.Name] = true
 	case OutcomeNotRun:
 		p.refused++
 		p.recordFailure()
-	case OutcomeLate:
+	case OutcomeDeadline:
 		p.missesDeadline = true
 	case OutcomeLost:
 		p.recordFailure()
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -53,7 +53,7 @@
 			req := request(2000)
 			req.Hint = c.hint
 			step := route.NewRouter(route.Config{}).Plan(start, req).Next(start, c.view)
-			require.Equal(t, route.StepAsk, step.Kind)
+			require.Equal(t, route.StepPermit, step.Kind)
 			require.Equal(t, c.want, step.Endpoint.Name)
 		})
 	}
@@ -124,7 +124,7 @@
 			p := route.NewRouter(route.Config{Import: c.cost}).Plan(start, req)
 			v := view(3, 3)
 			require.Equal(t, "w0", p.Next(start, v).Endpoint.Name)
-			p.Report(route.OutcomeFull)
+			p.Report(route.OutcomeDenied)
 			require.Equal(t, "w1", p.Next(start, v).Endpoint.Name)
 			p.Report(route.OutcomeGranted)
 			step := p.Next(start, v)
@@ -141,7 +141,7 @@
 	v := view(2, 2, 2)
 	p := r.Plan(start, request(100))
 	first := p.Next(start, v).Endpoint.Name
-	p.Report(route.OutcomeFull)
+	p.Report(route.OutcomeDenied)
 	var loads []kernel.EndpointLoad
 	for _, e := range v.Pools["engines"].Endpoints {
 		load := kernel.Load{Requests: 9}
@@ -171,13 +171,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			req := request(10)
-			req.Once = c.once
+			req.AtMostOnce = c.once
 			p := route.NewRouter(route.Config{}).Plan(start, req)
 			v := view(0, 0, 0, 0, 0)
 			for range 20 {
 				step := p.Next(start, v)
 				switch step.Kind {
-				case route.StepAsk:
+				case route.StepPermit:
 					p.Report(route.OutcomeGranted)
 				case route.StepRun:
 					p.Report(c.outcome)
@@ -286,7 +286,7 @@
 	p := route.NewRouter(route.Config{}).Plan(start, req)
 	for now := start; now.Sub(start) < span; {
 		switch last = p.Next(now, v); last.Kind {
-		case route.StepAsk:
+		case route.StepPermit:
 			permitRequests++
 			p.Report(answer)
 		case route.StepWait:
@@ -305,7 +305,7 @@
 	for _, left := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, time.Second} {
 		req := request(100)
 		req.Deadline = start.Add(left)
-		step, at, permitRequests := runDenied(v, req, route.OutcomeFull, time.Minute)
+		step, at, permitRequests := runDenied(v, req, route.OutcomeDenied, time.Minute)
 		require.Equal(t, route.Step{Kind: route.StepRefuse, Reason: route.ReasonDeadline, RetryAfter: route.RetryAfter}, step)
 		require.Less(t, at, left)
 		require.Positive(t, permitRequests)
@@ -319,7 +319,7 @@
 		span = 10 * time.Second
 		most = 250
 	)
-	_, _, permitRequests := runDenied(view(make([]int, 24)...), request(100), route.OutcomeFull, span)
+	_, _, permitRequests := runDenied(view(make([]int, 24)...), request(100), route.OutcomeDenied, span)
 	require.LessOrEqual(t, permitRequests, most)
 }
 
@@ -331,7 +331,7 @@
 	for now, round := start, 0; round < rounds; round++ {
 		tried := map[string]bool{}
 		step := p.Next(now, view(make([]int, each)...))
-		for ; step.Kind == route.StepAsk; step = p.Next(now, view(make([]int, each)...)) {
+		for ; step.Kind == route.StepPermit; step = p.Next(now, view(make([]int, each)...)) {
 			tried[step.Endpoint.Name] = true
 			p.Report(route.OutcomeUnreachable)
 		}
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -19,9 +19,9 @@
 	Config struct {
 		// Ranker orders endpoints; nil is NewCostRanker with its defaults.
 		Ranker Ranker
-		// Open dispatches without requesting permits from owners. It is for
+		// NoPermits dispatches without requesting permits from owners. It is for
 		// comparisons; no bound holds with it.
-		Open bool
+		NoPermits bool
 		// Rule decides which endpoints would deny a permit; nil is the owners'
 		// default rule.
 		Rule gate.Rule
