--- a/cmd/bulrushhinge/serve.go
+++ b/cmd/bulrushhinge/serve.go
@@ -87,7 +87,7 @@
 
 func (c *serveCommand) config(s platform.Settings) bulrushhinge.GatewayConfig {
 	transport := &http.Transport{
-		DialContext:           http1.Dialer(storeDialTimeout).DialContext,
+		DialContext:           http1.NewDialer(storeDialTimeout).DialContext,
 		MaxIdleConnsPerHost:   1,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: 0,
--- a/gateway.go
+++ b/gateway.go
@@ -152,7 +152,7 @@
 	nodes := func() int { return g.gossip.View().Known }
 	g.balancer = balance.New(balance.Config{Loads: peerLoads{gateway: g}, Zone: c.Zone, LoadFactor: c.LoadCap, Nodes: nodes})
 	g.pool = http1.NewPool(http1.PoolConfig{RequestID: c.Headers.RequestID, Opened: g.metrics.Opened})
-	crashes := gateway.NewCrashes(func(fingerprint uint64, endpoint deployment.Start) {
+	crashes := gateway.NewCrashTracker(func(fingerprint uint64, endpoint deployment.Start) {
 		g.gossip.Tell(gossip.Crash{Print: fingerprint, Endpoint: endpoint.Key()})
 	})
 	var err error
@@ -162,7 +162,7 @@
 		Self: gossip.Member{Name: c.Node, Zone: c.Zone, IP: c.IP, Callers: c.Callers, Power: power(c.Power), Incarnation: rand.Uint64()},
 		Port: c.Port, Seeds: func() []netip.Addr { return *g.seeds.Load() }, Book: g.state,
 		State: g.memberState, Work: g.balancer, Metrics: g.gossipMetrics, Log: g.log,
-		Crashed: func(k gossip.Crash) { crashes.Note(time.Now(), k.Print, k.Endpoint) },
+		Crashed: func(k gossip.Crash) { crashes.Record(time.Now(), k.Print, k.Endpoint) },
 		Untold: func() {
 			if f := follower.Load(); f != nil {
 				f.Read()
@@ -180,7 +180,7 @@
 	c.Retry.Nodes = nodes
 	g.handler = gateway.New(gateway.Config{
 		Headers: c.Headers, Deployment: g.state, Balancer: g.balancer, Pool: g.pool, Budget: budget.New(c.Retry),
-		Crashes: crashes, Metrics: g.metrics, Log: g.log, Places: places, Regions: c.Regions, Nodes: nodes, Peers: g.peers, Stopping: g.stopping.Load,
+		Crashes: crashes, Metrics: g.metrics, Log: g.log, Reserver: places, Regions: c.Regions, Nodes: nodes, Peers: g.peers, Stopping: g.stopping.Load,
 	})
 	g.follower = store.NewFollower(store.FollowerConfig{
 		Source: c.Source, Sink: g.state, Metrics: g.storeMetrics, Log: g.log,
@@ -291,15 +291,15 @@
 
 // peers returns the state of the other nodes as far as this one knows it. For
 // discoveryTime after its start it may not know any yet.
-func (g *Gateway) peers() gateway.Peers {
+func (g *Gateway) peers() gateway.PeerState {
 	alive := g.gossip.View().Alive
 	switch {
 	case slices.ContainsFunc(alive, func(m gossip.Member) bool { return m.State == gossip.Ready }):
-		return gateway.PeersServe
+		return gateway.PeersServing
 	case len(alive) > 0 || time.Since(g.began) < discoveryTime:
-		return gateway.PeersStart
+		return gateway.PeersStarting
 	}
-	return gateway.PeersSilent
+	return gateway.PeersNone
 }
 
 func (g *Gateway) memberState() gossip.State {
@@ -314,12 +314,12 @@
 
 // limitListener wraps the callers' listener with the configured timeouts.
 func (g *Gateway) limitListener(l net.Listener) net.Listener {
-	b := http1.NewListener(l, func() http1.Limits {
+	b := http1.NewListener(l, func() http1.Timeouts {
 		c := g.state.Snapshot().Config
 		if c == nil {
-			return http1.Limits{}
+			return http1.Timeouts{}
 		}
-		return http1.Limits{Head: c.Limits.HeaderTimeout, Idle: c.Limits.IdleTimeout}
+		return http1.Timeouts{Header: c.Limits.HeaderTimeout, Idle: c.Limits.IdleTimeout}
 	})
 	g.callers.ConnState = b.ConnState
 	return b
--- a/internal/endpoint/notice.go
+++ b/internal/endpoint/notice.go
@@ -51,7 +51,7 @@
 		incarnation, err := strconv.ParseUint(text, 10, 64)
 		n.Leaving, n.Incarnation = err == nil, incarnation
 	}
-	if http1.Refuses(resp.StatusCode) {
+	if http1.IsOverload(resp.StatusCode) {
 		n.Rest = http1.RetryAfter(resp.Header[HeaderRest])
 	}
 	return n
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -70,7 +70,7 @@
 	}
 	x, err := pool.Do(ctx, http1.Request{
 		Addr: a.choice.Endpoint.Addr, Process: a.choice.Endpoint.Start().Key(), ID: c.id, HTTP: a.request(),
-		Idle: c.maxIdle(), Keep: c.maxIdleConns(), MaySend: func() bool { return c.available(a.choice.Endpoint) },
+		MaxIdle: c.maxIdle(), MaxIdleConns: c.maxIdleConns(), MaySend: func() bool { return c.available(a.choice.Endpoint) },
 	})
 	if err != nil {
 		return a.classify(err)
@@ -84,7 +84,7 @@
 	if x.Response.Header.Get(h.NotRun) != "" || a.status == http.StatusMisdirectedRequest {
 		return a.notRun(x)
 	}
-	if !http1.Refuses(a.status) {
+	if !http1.IsOverload(a.status) {
 		c.handler.config.Balancer.Accepted(time.Now(), a.choice.Endpoint.Start())
 	}
 	switch {
@@ -138,16 +138,16 @@
 	header := c.header.Clone()
 	left := max(time.Until(c.deadline), time.Millisecond)
 	header.Set(h.Deadline, strconv.FormatInt(left.Milliseconds()+1, 10))
-	header.Set(h.Expect, a.choice.Endpoint.ID)
+	header.Set(h.ExpectEndpoint, a.choice.Endpoint.ID)
 	if a.choice.Source != nil {
-		header.Set(h.Fetch, a.choice.Source.Addr.String())
+		header.Set(h.FetchFrom, a.choice.Source.Addr.String())
 	}
 	if c.reservation != "" {
-		header.Set(h.Reserved, c.reservation)
+		header.Set(h.Reservation, c.reservation)
 		c.reservation, a.reserved = "", true
 	}
 	if c.progress.lastEvent > 0 {
-		header.Set(h.LastEvent, strconv.FormatUint(c.progress.lastEvent, 10))
+		header.Set(h.LastEventID, strconv.FormatUint(c.progress.lastEvent, 10))
 	}
 	req := &http.Request{
 		Method: c.in.Method, URL: &url.URL{Scheme: "http", Host: c.in.Host, Opaque: c.in.RequestURI},
@@ -335,8 +335,8 @@
 	if a.notice.Leaving {
 		f["leaving"] = true
 	}
-	if a.notice.Rest > 0 {
-		f["rest_ms"] = a.notice.Rest.Milliseconds()
+	if a.notice.Backoff > 0 {
+		f["rest_ms"] = a.notice.Backoff.Milliseconds()
 	}
 	if reading := a.choice.PrefillTime; reading > 0 {
 		f["reading_ms"] = reading.Milliseconds()
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -16,9 +16,9 @@
 type leavingReserver struct{ leave func(e *deployment.Endpoint) }
 
 // Reserve implements gateway.Reserver.
-func (l leavingReserver) Reserve(_ context.Context, e *deployment.Endpoint, _ gateway.Reservation) (gateway.Place, error) {
+func (l leavingReserver) Reserve(_ context.Context, e *deployment.Endpoint, _ gateway.ReserveRequest) (gateway.ReserveResponse, error) {
 	l.leave(e)
-	return gateway.Place{Name: "place"}, nil
+	return gateway.ReserveResponse{Name: "place"}, nil
 }
 
 // Guards against a caller that waits for a response although no endpoint may be sent
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -101,9 +101,9 @@
 
 func headers() gateway.Headers {
 	return gateway.Headers{
-		RequestID: id, Deadline: "Deadline-Ms", APIKey: "Api-Key", Account: "Account", Expect: "Expect-Endpoint",
+		RequestID: id, Deadline: "Deadline-Ms", APIKey: "Api-Key", Account: "Account", ExpectEndpoint: "Expect-Endpoint",
 		Load: "Load", NotRun: "Not-Run", Seal: seal, Prompt: "Prompt", Tokens: "Tokens",
-		Leaving: leaving, Rest: retryAfter, Model: "Model", Priority: "Priority", LastEvent: "Last-Event-Id", Fetch: "Fetch", Reserved: reserved, Trusted: []string{"Fetch", "Account"},
+		Leaving: leaving, RetryAfter: retryAfter, Model: "Model", Priority: "Priority", LastEventID: "Last-Event-Id", FetchFrom: "Fetch", Reservation: reserved, Internal: []string{"Fetch", "Account"},
 	}
 }
 
@@ -242,11 +242,11 @@
 	}
 	pool := http1.NewPool(http1.PoolConfig{RequestID: id})
 	h := gateway.New(gateway.Config{
-		Headers: headers(), Deployment: staticDeployment{snapshot: f.snapshot, left: &f.left}, Pool: pool, Places: places,
+		Headers: headers(), Deployment: staticDeployment{snapshot: f.snapshot, left: &f.left}, Pool: pool, Reserver: places,
 		Regions:  map[string]string{"z0": "r0", "z1": "r1"},
 		Balancer: balance.New(balance.Config{Loads: loads}),
 		Budget:   budget.New(budget.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 20, Nodes: func() int { return 1 }}),
-		Crashes:  gateway.NewCrashes(func(uint64, deployment.Start) { f.crashes++ }), Metrics: gateway.NewMetrics(),
+		Crashes:  gateway.NewCrashTracker(func(uint64, deployment.Start) { f.crashes++ }), Metrics: gateway.NewMetrics(),
 		Nodes: func() int { return 1 }, Stopping: func() bool { return false },
 	})
 	f.server = httptest.NewServer(h)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -55,17 +55,17 @@
 		Balancer   *balance.Balancer
 		Pool       *http1.Pool
 		Budget     *budget.Budget
-		Crashes    *Crashes
+		Crashes    *CrashTracker
 		Metrics    *Metrics
 		Log        *decision.Log
-		// Places reserves slots at engines; nil if they support no reservations.
-		Places Reserver
+		// Reserver reserves slots at engines; nil if they support no reservations.
+		Reserver Reserver
 		// Regions maps the names of availability zones to their regions.
 		Regions map[string]string
 		// Nodes returns how many nodes there are.
 		Nodes func() int
-		// Peers returns the state of the other nodes; nil means PeersServe.
-		Peers func() Peers
+		// Peers returns the state of the other nodes; nil means PeersServing.
+		Peers func() PeerState
 		// Stopping reports whether the node is being stopped.
 		Stopping func() bool
 	}
@@ -136,7 +136,7 @@
 
 // New returns a Handler.
 func New(c Config) *Handler {
-	return &Handler{config: c, reservations: newReservations(c.Places), queues: map[string]*admission.Queue{}}
+	return &Handler{config: c, reservations: newReservations(c.Reserver), queues: map[string]*admission.Queue{}}
 }
 
 // Active returns the number of requests in progress.
@@ -266,7 +266,7 @@
 	if c.service.Model {
 		c.header.Set(h.Priority, strconv.Itoa(c.enginePriority()))
 	}
-	last, err := strconv.ParseUint(c.in.Header.Get(h.LastEvent), 10, 64)
+	last, err := strconv.ParseUint(c.in.Header.Get(h.LastEventID), 10, 64)
 	if err == nil {
 		c.progress.lastEvent = last
 	}
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -17,18 +17,18 @@
 		APIKey   string
 		// Account is the client account's name, sent to endpoints.
 		Account string
-		// Expect is the ID of the endpoint that a request is meant for; another
+		// ExpectEndpoint is the ID of the endpoint that a request is meant for; another
 		// process may be at its address.
-		Expect string
+		ExpectEndpoint string
 		// Load is an endpoint's running and waiting requests and its slots.
 		Load string
 		// NotRun marks a response whose request did not run.
 		NotRun string
 		// Leaving marks a response of an endpoint that is leaving.
 		Leaving string
-		// Rest is, in a refusal, for how many seconds the endpoint wants no
+		// RetryAfter is, in a refusal, for how many seconds the endpoint wants no
 		// requests from the node.
-		Rest string
+		RetryAfter string
 		// Seal marks an endpoint's response.
 		Seal string
 		// Prompt lists the parts of a prompt, Tokens their count, and Model
@@ -38,15 +38,15 @@
 		Model  string
 		// Priority is a request's priority at an engine.
 		Priority string
-		// LastEvent is the ID of the last event that was received.
-		LastEvent string
-		// Fetch is the address of an endpoint from which a prompt's KV cache is
+		// LastEventID is the ID of the last event that was received.
+		LastEventID string
+		// FetchFrom is the address of an endpoint from which a prompt's KV cache is
 		// fetched.
-		Fetch string
-		// Reserved names the reservation that a request uses.
-		Reserved string
-		// Trusted headers are set by the fleet and dropped from callers' requests.
-		Trusted []string
+		FetchFrom string
+		// Reservation names the reservation that a request uses.
+		Reservation string
+		// Internal headers are set by the fleet and dropped from callers' requests.
+		Internal []string
 	}
 
 	// headerSet is a set of header names in canonical form.
@@ -83,12 +83,12 @@
 func (h Headers) forEndpoint(from http.Header, account string) http.Header {
 	to := endToEnd(from)
 	// These are kept even if the Connection header lists them.
-	for _, name := range []string{h.RequestID, h.Prompt, h.Tokens, h.Model, h.LastEvent} {
+	for _, name := range []string{h.RequestID, h.Prompt, h.Tokens, h.Model, h.LastEventID} {
 		if v, ok := from[name]; ok {
 			to[name] = v
 		}
 	}
-	for _, name := range h.Trusted {
+	for _, name := range h.Internal {
 		delete(to, textproto.CanonicalMIMEHeaderKey(name))
 	}
 	delete(to, h.APIKey)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -52,7 +52,7 @@
 	if n.Leaving {
 		m.set.GetOrCreateCounter(metricPrefix + `notices_total{notice="leaving"}`).Inc()
 	}
-	if n.Rest > 0 {
+	if n.Backoff > 0 {
 		m.set.GetOrCreateCounter(metricPrefix + `notices_total{notice="rest"}`).Inc()
 	}
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -21,8 +21,8 @@
 type Notice struct {
 	// Leaving says that it is shutting down and accepts no new requests.
 	Leaving bool
-	// Rest is the backoff that it asks of this node, 0 if it asks for none.
-	Rest time.Duration
+	// Backoff is the backoff that it asks of this node, 0 if it asks for none.
+	Backoff time.Duration
 }
 
 // Notice reads an endpoint's notice from a response.
@@ -34,8 +34,8 @@
 		return Notice{}
 	}
 	n := Notice{Leaving: slices.ContainsFunc(header[h.Leaving], func(v string) bool { return strings.TrimSpace(v) == leavingValue })}
-	if http1.Refuses(status) {
-		n.Rest = http1.RetryAfter(header[h.Rest])
+	if http1.IsOverload(status) {
+		n.Backoff = http1.RetryAfter(header[h.RetryAfter])
 	}
 	return n
 }
@@ -46,7 +46,7 @@
 	if n.Leaving {
 		h.Deployment.Leaving(e.Start(), sourceAnswer)
 	}
-	if n.Rest > 0 {
-		h.Balancer.Backoff(time.Now(), e.Start(), n.Rest)
+	if n.Backoff > 0 {
+		h.Balancer.Backoff(time.Now(), e.Start(), n.Backoff)
 	}
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -37,11 +37,11 @@
 		"does not leave":                  {status: http.StatusOK, leaving: []string{"0"}},
 		"an unknown value for leaving":    {status: http.StatusOK, leaving: []string{"soon"}},
 		"another process leaves":          {status: other, leaving: []string{"1"}, rest: []string{"3"}},
-		"asks for a backoff":              {status: refused, rest: []string{"3"}, want: gateway.Notice{Rest: 3 * time.Second}},
-		"asks for a fraction of a second": {status: refused, rest: []string{" 0.25 "}, want: gateway.Notice{Rest: 250 * time.Millisecond}},
-		"asks with another status":        {status: http.StatusTooManyRequests, rest: []string{"3"}, want: gateway.Notice{Rest: 3 * time.Second}},
-		"asks twice":                      {status: refused, rest: []string{"1", "2"}, want: gateway.Notice{Rest: 2 * time.Second}},
-		"leaves, and asks for a backoff":  {status: refused, leaving: []string{"1"}, rest: []string{"3"}, want: gateway.Notice{Leaving: true, Rest: 3 * time.Second}},
+		"asks for a backoff":              {status: refused, rest: []string{"3"}, want: gateway.Notice{Backoff: 3 * time.Second}},
+		"asks for a fraction of a second": {status: refused, rest: []string{" 0.25 "}, want: gateway.Notice{Backoff: 250 * time.Millisecond}},
+		"asks with another status":        {status: http.StatusTooManyRequests, rest: []string{"3"}, want: gateway.Notice{Backoff: 3 * time.Second}},
+		"asks twice":                      {status: refused, rest: []string{"1", "2"}, want: gateway.Notice{Backoff: 2 * time.Second}},
+		"leaves, and asks for a backoff":  {status: refused, leaving: []string{"1"}, rest: []string{"3"}, want: gateway.Notice{Leaving: true, Backoff: 3 * time.Second}},
 		"asks without a refusal":          {status: http.StatusOK, rest: []string{"3"}},
 		"a date":                          {status: refused, rest: []string{"Wed, 21 Oct 2015 07:28:00 GMT"}},
 		"asks for none":                   {status: refused, rest: []string{"0"}},
@@ -173,7 +173,7 @@
 // Guards against reservation requests to an engine that has asked for a backoff.
 func TestBackoffStopsReservations(t *testing.T) {
 	places := &engines{
-		free: map[string]int{"e1": 100}, requested: map[string]int{}, notices: map[string]gateway.Notice{"e0": {Rest: time.Minute}},
+		free: map[string]int{"e1": 100}, requested: map[string]int{}, notices: map[string]gateway.Notice{"e0": {Backoff: time.Minute}},
 	}
 	f := newEngines(t, 3, places, newEndpoint(t, stream(3, "", true)), newEndpoint(t, stream(3, "", true)))
 	for n := range 40 {
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -35,16 +35,16 @@
 )
 
 type (
-	// Reservation is a request to reserve a slot at an engine.
-	Reservation struct {
+	// ReserveRequest is a request to reserve a slot at an engine.
+	ReserveRequest struct {
 		// Tokens is the memory that is kept free for the request.
 		Tokens int
-		// For is how long the slot is reserved.
-		For time.Duration
+		// TTL is how long the slot is reserved.
+		TTL time.Duration
 	}
 
-	// Place is an engine's response to a Reservation.
-	Place struct {
+	// ReserveResponse is an engine's response to a ReserveRequest.
+	ReserveResponse struct {
 		// Name is the reservation's, empty if there is none.
 		Name string
 		// Notice is the engine's notice in the response.
@@ -55,7 +55,7 @@
 	Reserver interface {
 		// Reserve returns the engine's response, also along with ErrFull and
 		// ErrNoReservations, or an error of the connection.
-		Reserve(ctx context.Context, e *deployment.Endpoint, r Reservation) (Place, error)
+		Reserve(ctx context.Context, e *deployment.Endpoint, r ReserveRequest) (ReserveResponse, error)
 	}
 
 	// reservations knows which engines do not support reservations.
@@ -107,7 +107,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	place, err := h.Places.Reserve(ctx, choice.Endpoint, Reservation{Tokens: reserveTokens, For: reservationTTL})
+	place, err := h.Reserver.Reserve(ctx, choice.Endpoint, ReserveRequest{Tokens: reserveTokens, TTL: reservationTTL})
 	h.Metrics.reserved(err)
 	h.Metrics.noticed(place.Notice)
 	c.applyNotice(choice.Endpoint, place.Notice)
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -43,11 +43,11 @@
 func (others) Age(time.Time) time.Duration { return 0 }
 
 // Reserve implements gateway.Reserver.
-func (e *engines) Reserve(_ context.Context, to *deployment.Endpoint, _ gateway.Reservation) (gateway.Place, error) {
+func (e *engines) Reserve(_ context.Context, to *deployment.Endpoint, _ gateway.ReserveRequest) (gateway.ReserveResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requested[to.ID]++
-	place := gateway.Place{Notice: e.notices[to.ID]}
+	place := gateway.ReserveResponse{Notice: e.notices[to.ID]}
 	if e.err != nil {
 		return place, e.err
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -105,7 +105,7 @@
 	if c.route.Kind.Streams() {
 		advice := "send it again only if it may run twice"
 		if c.route.Kind.Repeats() {
-			advice = fmt.Sprintf("resume it with %s: %d", c.handler.config.Headers.LastEvent, c.progress.lastEvent)
+			advice = fmt.Sprintf("resume it with %s: %d", c.handler.config.Headers.LastEventID, c.progress.lastEvent)
 		}
 		// An error means that the caller has disconnected.
 		_, _ = fmt.Fprintf(c.out, ": unknown: %s; %s\n\n", r.reason, advice)
--- a/internal/gateway/unconfigured.go
+++ b/internal/gateway/unconfigured.go
@@ -11,13 +11,13 @@
 
 // States of the other nodes, as far as this node knows.
 const (
-	// PeersServe means that another node serves callers.
-	PeersServe Peers = iota
-	// PeersStart means that there are other nodes, but none of them has a
+	// PeersServing means that another node serves callers.
+	PeersServing PeerState = iota
+	// PeersStarting means that there are other nodes, but none of them has a
 	// configuration.
-	PeersStart
-	// PeersSilent means that no other node is known to be alive.
-	PeersSilent
+	PeersStarting
+	// PeersNone means that no other node is known to be alive.
+	PeersNone
 )
 
 const (
@@ -31,8 +31,8 @@
 	maxEarlyBody = 1 << 20
 )
 
-// Peers is the state of the other nodes, as far as this node knows.
-type Peers int
+// PeerState is the state of the other nodes, as far as this node knows.
+type PeerState int
 
 // awaitConfig returns the configuration, or nil if none is known in time.
 //
@@ -64,15 +64,15 @@
 // configTimeout returns how long a request waits for the first configuration. The
 // wait is not shortened if other nodes find one, as this node will then get it too.
 func (c *call) configTimeout() time.Duration {
-	if c.peers() == PeersStart {
+	if c.peers() == PeersStarting {
 		return max(time.Duration(configWaitShare*float64(c.callerTimeout())), minConfigWait)
 	}
 	return minConfigWait
 }
 
-func (c *call) peers() Peers {
+func (c *call) peers() PeerState {
 	if c.handler.config.Peers == nil {
-		return PeersServe
+		return PeersServing
 	}
 	return c.handler.config.Peers()
 }
@@ -108,7 +108,7 @@
 // the outage is unknown and callers retry only once or twice, so they are asked to
 // retry as late as they are willing to.
 func (c *call) unconfigured() *refusal {
-	if c.peers() == PeersServe {
+	if c.peers() == PeersServing {
 		return notRun(reasonNoConfig, retrySoon)
 	}
 	left := c.callerTimeout() - time.Since(c.started)
--- a/internal/gateway/unconfigured_test.go
+++ b/internal/gateway/unconfigured_test.go
@@ -50,7 +50,7 @@
 func TestRequestsBeforeTheFirstConfiguration(t *testing.T) {
 	cases := []struct {
 		name     string
-		peers    gateway.Peers
+		peers    gateway.PeerState
 		deadline string
 		// known is when the configuration becomes known.
 		known time.Duration
@@ -61,18 +61,18 @@
 	}{
 		{name: "the configuration is read within milliseconds", deadline: "12000", known: 20 * time.Millisecond, status: 404, took: 20 * time.Millisecond},
 		{name: "another node serves", deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 0.2},
-		{name: "all others are starting", peers: gateway.PeersStart, deadline: "12000", known: 1200 * time.Millisecond, status: 404, took: 1200 * time.Millisecond},
-		{name: "all others are starting for longer than the caller may wait", peers: gateway.PeersStart, deadline: "12000", known: time.Minute, status: 503, took: 3 * time.Second, after: 3},
-		{name: "a caller with little time", peers: gateway.PeersStart, deadline: "1000", known: time.Second, status: 503, took: 250 * time.Millisecond, after: 0.5},
-		{name: "a caller that does not say how long", peers: gateway.PeersStart, known: time.Second, status: 503, took: 50 * time.Millisecond, after: 0.5},
-		{name: "no other node is alive", peers: gateway.PeersSilent, deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 3.983},
+		{name: "all others are starting", peers: gateway.PeersStarting, deadline: "12000", known: 1200 * time.Millisecond, status: 404, took: 1200 * time.Millisecond},
+		{name: "all others are starting for longer than the caller may wait", peers: gateway.PeersStarting, deadline: "12000", known: time.Minute, status: 503, took: 3 * time.Second, after: 3},
+		{name: "a caller with little time", peers: gateway.PeersStarting, deadline: "1000", known: time.Second, status: 503, took: 250 * time.Millisecond, after: 0.5},
+		{name: "a caller that does not say how long", peers: gateway.PeersStarting, known: time.Second, status: 503, took: 50 * time.Millisecond, after: 0.5},
+		{name: "no other node is alive", peers: gateway.PeersNone, deadline: "12000", known: time.Second, status: 503, took: 50 * time.Millisecond, after: 3.983},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := gateway.New(gateway.Config{
 					Headers: headers(), Deployment: newStarting(c.known), Metrics: gateway.NewMetrics(),
-					Peers: func() gateway.Peers { return c.peers }, Stopping: func() bool { return false },
+					Peers: func() gateway.PeerState { return c.peers }, Stopping: func() bool { return false },
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -52,11 +52,11 @@
 	idleTimeout time.Duration
 }
 
-// Dialer returns a dialer whose connections detect a dead peer within seconds.
+// NewDialer returns a dialer whose connections detect a dead peer within seconds.
 //
 // A peer may become unreachable without a reset. Keep-alive probes detect it within
 // three seconds, unacknowledged data earlier.
-func Dialer(timeout time.Duration) *net.Dialer {
+func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
@@ -73,7 +73,7 @@
 }
 
 func dial(ctx context.Context, addr netip.AddrPort) (*conn, error) {
-	c, err := Dialer(ConnectTimeout).DialContext(ctx, "tcp4", addr.String())
+	c, err := NewDialer(ConnectTimeout).DialContext(ctx, "tcp4", addr.String())
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrConnect, err)
 	}
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -42,12 +42,12 @@
 		ID string
 		// HTTP is the request to send; its body must be of known length.
 		HTTP *http.Request
-		// Idle is for how long a reused connection may have been idle; with 0, a
+		// MaxIdle is for how long a reused connection may have been idle; with 0, a
 		// new connection is opened.
-		Idle time.Duration
-		// Keep is how many idle connections may be kept to the endpoint; with 0,
+		MaxIdle time.Duration
+		// MaxIdleConns is how many idle connections may be kept to the endpoint; with 0,
 		// the pool's default holds.
-		Keep int
+		MaxIdleConns int
 		// MaySend is called once a connection is open, and reports whether the
 		// request may still be sent; nil means yes.
 		MaySend func() bool
@@ -78,7 +78,7 @@
 // of ctx closes the connection, which tells the endpoint to stop.
 func (p *Pool) Do(ctx context.Context, r Request) (*Exchange, error) {
 	to := peer{addr: r.Addr, process: r.Process}
-	c := p.take(to, r.Idle)
+	c := p.take(to, r.MaxIdle)
 	if c == nil {
 		var err error
 		if c, err = p.open(ctx, r.Addr); err != nil {
@@ -89,7 +89,7 @@
 		_ = c.Close()
 		return nil, ErrWithdrawn
 	}
-	x := &Exchange{pool: p, peer: to, maxIdleConns: cmp.Or(r.Keep, defaultMaxIdleConns), conn: c, NewConn: !c.used, writeErr: make(chan error, 1)}
+	x := &Exchange{pool: p, peer: to, maxIdleConns: cmp.Or(r.MaxIdleConns, defaultMaxIdleConns), conn: c, NewConn: !c.used, writeErr: make(chan error, 1)}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if r.HTTP.ContentLength <= maxInlineBody {
 		x.writeErr <- r.HTTP.Write(c)
--- a/internal/http1/exchange_test.go
+++ b/internal/http1/exchange_test.go
@@ -77,7 +77,7 @@
 		Method: http.MethodPost, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{header: {id}},
 		Body: io.NopCloser(strings.NewReader("b")), ContentLength: 1,
 	}
-	x, err := p.Do(ctx, http1.Request{Addr: addr, ID: id, HTTP: req, Idle: idle})
+	x, err := p.Do(ctx, http1.Request{Addr: addr, ID: id, HTTP: req, MaxIdle: idle})
 	if err != nil {
 		return "", err
 	}
@@ -135,7 +135,7 @@
 	defer p.Close()
 	for i, process := range []uint32{1, 1, 2, 2} {
 		r := get(fmt.Sprint(i))
-		x, err := p.Do(t.Context(), http1.Request{Addr: s.addr, Process: process, ID: r.Header.Get(header), HTTP: r, Idle: time.Minute})
+		x, err := p.Do(t.Context(), http1.Request{Addr: s.addr, Process: process, ID: r.Header.Get(header), HTTP: r, MaxIdle: time.Minute})
 		require.NoError(t, err)
 		_, err = io.ReadAll(x.Response.Body)
 		require.NoError(t, err)
@@ -223,7 +223,7 @@
 			Method: http.MethodPost, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{header: {id}},
 			Body: io.NopCloser(strings.NewReader(body)), ContentLength: int64(len(body)),
 		}
-		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, Idle: time.Minute})
+		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, MaxIdle: time.Minute})
 		require.NoError(t, err)
 		_, err = io.ReadAll(x.Response.Body)
 		require.NoError(t, err)
@@ -281,7 +281,7 @@
 	var group sync.WaitGroup
 	send := func(id string) {
 		req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{header: {id}}}
-		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, Idle: time.Minute, Keep: maxIdleConns})
+		x, err := p.Do(context.Background(), http1.Request{Addr: s.addr, ID: id, HTTP: req, MaxIdle: time.Minute, MaxIdleConns: maxIdleConns})
 		require.NoError(t, err)
 		_, err = io.ReadAll(x.Response.Body)
 		require.NoError(t, err)
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -52,7 +52,7 @@
 		defer p.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		x, err := p.Do(ctx, http1.Request{Addr: s.addr, ID: "q1", HTTP: get("q1"), Idle: time.Minute})
+		x, err := p.Do(ctx, http1.Request{Addr: s.addr, ID: "q1", HTTP: get("q1"), MaxIdle: time.Minute})
 		if err == nil {
 			id := x.Response.Header.Get(header)
 			require.True(t, id == "q1" || (id == "" && x.NewConn), id)
--- a/internal/http1/listener.go
+++ b/internal/http1/listener.go
@@ -36,10 +36,10 @@
 type (
 	phase int
 
-	// Limits bound how long callers may take; 0 means the package's default.
-	Limits struct {
-		Head time.Duration
-		Idle time.Duration
+	// Timeouts bound how long callers may take; 0 means the package's default.
+	Timeouts struct {
+		Header time.Duration
+		Idle   time.Duration
 	}
 
 	// Listener accepts callers' connections and bounds how long they may take
@@ -48,7 +48,7 @@
 	// once.
 	Listener struct {
 		net.Listener
-		limits func() Limits
+		limits func() Timeouts
 	}
 
 	// callerConn is a caller's connection. The server's own read deadlines
@@ -56,7 +56,7 @@
 	// reading.
 	callerConn struct {
 		*net.TCPConn
-		limits func() Limits
+		limits func() Timeouts
 		mu     sync.Mutex
 		phase  phase
 		// headerBegun says that part of a header has been received.
@@ -66,7 +66,7 @@
 
 // NewListener returns a listener with limits; its ConnState must be set as that of
 // the http.Server that uses it.
-func NewListener(l net.Listener, limits func() Limits) *Listener {
+func NewListener(l net.Listener, limits func() Timeouts) *Listener {
 	return &Listener{Listener: l, limits: limits}
 }
 
@@ -137,7 +137,7 @@
 	var until time.Time
 	switch p {
 	case readingHeader:
-		until = time.Now().Add(orDefault(c.limits().Head, DefaultHeaderTimeout))
+		until = time.Now().Add(orDefault(c.limits().Header, DefaultHeaderTimeout))
 	case idle:
 		until = time.Now().Add(orDefault(c.limits().Idle, DefaultIdleTimeout))
 	case active:
--- a/internal/http1/listener_test.go
+++ b/internal/http1/listener_test.go
@@ -18,15 +18,15 @@
 // limitedServer is a server whose limits a test sets.
 type limitedServer struct {
 	addr   string
-	limits atomic.Pointer[http1.Limits]
+	limits atomic.Pointer[http1.Timeouts]
 }
 
-func newLimitedServer(t *testing.T, limits http1.Limits) *limitedServer {
+func newLimitedServer(t *testing.T, limits http1.Timeouts) *limitedServer {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &limitedServer{addr: l.Addr().String()}
 	s.limits.Store(&limits)
-	bounded := http1.NewListener(l, func() http1.Limits { return *s.limits.Load() })
+	bounded := http1.NewListener(l, func() http1.Timeouts { return *s.limits.Load() })
 	server := &http.Server{
 		ConnState: bounded.ConnState,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 // Guards against running out of file descriptors while few requests are in progress,
 // because slow callers hold one each.
 func TestSlowCallers(t *testing.T) {
-	short := http1.Limits{Head: 60 * time.Millisecond, Idle: 60 * time.Millisecond}
+	short := http1.Timeouts{Header: 60 * time.Millisecond, Idle: 60 * time.Millisecond}
 	cases := []struct {
 		name string
 		// sent is all that the caller sends.
@@ -75,13 +75,13 @@
 // afterwards the connection is closed when it has been idle for long enough, by
 // the limit in force when the request ended.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
-	s := newLimitedServer(t, http1.Limits{Head: 200 * time.Millisecond, Idle: time.Hour})
+	s := newLimitedServer(t, http1.Timeouts{Header: 200 * time.Millisecond, Idle: time.Hour})
 	conn, err := net.Dial("tcp4", s.addr)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for _, idle := range []time.Duration{time.Hour, time.Millisecond} {
-		s.limits.Store(&http1.Limits{Head: 200 * time.Millisecond, Idle: idle})
+		s.limits.Store(&http1.Timeouts{Header: 200 * time.Millisecond, Idle: idle})
 		_, err = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab")
 		require.NoError(t, err)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/http1/retry.go
+++ b/internal/http1/retry.go
@@ -14,9 +14,9 @@
 	maxRetryAfter = 24 * time.Hour
 )
 
-// Refuses reports whether a status says that the server is overloaded, so that its
+// IsOverload reports whether a status says that the server is overloaded, so that its
 // Retry-After asks for a backoff of that time.
-func Refuses(status int) bool {
+func IsOverload(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
