--- a/gateway.go
+++ b/gateway.go
@@ -153,17 +153,17 @@
 	g.balancer = balance.New(balance.Config{Loads: peerLoads{gateway: g}, Zone: c.Zone, LoadFactor: c.LoadCap, Nodes: nodes})
 	g.pool = http1.NewPool(http1.PoolConfig{RequestID: c.Headers.RequestID, Opened: g.metrics.Opened})
 	crashes := gateway.NewCrashTracker(func(fingerprint uint64, endpoint deployment.Start) {
-		g.gossip.Tell(gossip.Crash{Print: fingerprint, Endpoint: endpoint.Key()})
+		g.gossip.ReportCrash(gossip.Crash{Fingerprint: fingerprint, Endpoint: endpoint.Key()})
 	})
 	var err error
 	// The gossip may call for a reread before the follower exists.
 	follower := &atomic.Pointer[store.Follower]{}
 	g.gossip, err = gossip.New(gossip.Config{
 		Self: gossip.Member{Name: c.Node, Zone: c.Zone, IP: c.IP, Callers: c.Callers, Power: power(c.Power), Incarnation: rand.Uint64()},
-		Port: c.Port, Seeds: func() []netip.Addr { return *g.seeds.Load() }, Book: g.state,
+		Port: c.Port, Seeds: func() []netip.Addr { return *g.seeds.Load() }, Replica: g.state,
 		State: g.memberState, Work: g.balancer, Metrics: g.gossipMetrics, Log: g.log,
-		Crashed: func(k gossip.Crash) { crashes.Record(time.Now(), k.Print, k.Endpoint) },
-		Untold: func() {
+		OnCrash: func(k gossip.Crash) { crashes.Record(time.Now(), k.Fingerprint, k.Endpoint) },
+		Reread: func() {
 			if f := follower.Load(); f != nil {
 				f.Read()
 			}
@@ -231,7 +231,7 @@
 func (g *Gateway) Resolve(c gateway.Caller) ([]netip.AddrPort, time.Duration) {
 	var regions []string
 	if config := g.state.Snapshot().Config; config != nil {
-		regions = config.Homes(c.Host)
+		regions = config.Regions(c.Host)
 	}
 	var ready []gateway.Node
 	if g.Ready() {
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -47,7 +47,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range list {
-		if !e.Takes() {
+		if !e.AcceptsRequests() {
 			continue
 		}
 		o := b.endpoints[e.Start()]
--- a/internal/balance/candidate.go
+++ b/internal/balance/candidate.go
@@ -38,7 +38,7 @@
 	defer b.mu.Unlock()
 	return slices.ContainsFunc(list, func(e *deployment.Endpoint) bool {
 		o := b.state(e.Start(), now)
-		if !e.Takes() || b.cold(e, o, r.Service, now) || slices.Contains(r.Tried, e.Start()) {
+		if !e.AcceptsRequests() || b.cold(e, o, r.Service, now) || slices.Contains(r.Tried, e.Start()) {
 			return false
 		}
 		return !r.blocked(now, e, o, b.inProgress(o))
--- a/internal/deployment/announce.go
+++ b/internal/deployment/announce.go
@@ -58,18 +58,18 @@
 	return taken
 }
 
-// Leaving records that an endpoint has announced its own leave. It gets no new
+// RecordLeave records that an endpoint has announced its own leave. It gets no new
 // requests under this start, whatever the store reports.
-func (s *State) Leaving(start Start, source string) {
+func (s *State) RecordLeave(start Start, source string) {
 	if _, known := s.Snapshot().leaveNotices[start]; !known {
 		s.leaves.put(start, source)
 	}
 }
 
-// Announced returns the Keys of the endpoints that have announced their leave while
+// Leaving returns the Keys of the endpoints that have announced their leave while
 // the store still lists them as ready, as far as this node learned of it since a
 // time.
-func (s *State) Announced(since time.Time) (keys []uint32) {
+func (s *State) Leaving(since time.Time) (keys []uint32) {
 	for _, a := range s.Snapshot().unstored {
 		if !a.received.Before(since) {
 			keys = append(keys, a.key)
@@ -78,16 +78,16 @@
 	return keys
 }
 
-// LeavingHeard records the leaves that a peer reports. It ignores a Key that two
+// AddLeaving records the leaves that a peer reports. It ignores a Key that two
 // endpoints share.
-func (s *State) LeavingHeard(keys []uint32, source string) {
+func (s *State) AddLeaving(keys []uint32, source string) {
 	snap := s.Snapshot()
 	for _, key := range keys {
 		if slices.ContainsFunc(snap.unstored, func(a leaveNotice) bool { return a.key == key }) {
 			continue
 		}
 		if list := snap.byKey(key); len(list) == 1 && !list[0].Draining {
-			s.Leaving(list[0].Start(), source)
+			s.RecordLeave(list[0].Start(), source)
 		}
 	}
 }
--- a/internal/deployment/announce_test.go
+++ b/internal/deployment/announce_test.go
@@ -52,7 +52,7 @@
 				defer s.Close()
 				s.Apply(t.Context(), first)
 				synctest.Wait()
-				s.Leaving(start("a"), "answer")
+				s.RecordLeave(start("a"), "answer")
 				synctest.Wait()
 				require.Equal(t, []string{"b"}, usable(s))
 				for _, u := range c.after {
@@ -60,7 +60,7 @@
 				}
 				synctest.Wait()
 				require.Equal(t, c.want, usable(s))
-				require.Equal(t, c.gossiped, len(s.Announced(time.Time{})) > 0)
+				require.Equal(t, c.gossiped, len(s.Leaving(time.Time{})) > 0)
 			})
 		})
 	}
@@ -74,12 +74,12 @@
 		defer s.Close()
 		s.Apply(t.Context(), fullRead(in(1, 4), entry("a", 1, ""), entry("b", 2, ""), entry("c", 3, "draining")))
 		synctest.Wait()
-		s.LeavingHeard([]uint32{start("a").Key(), start("c").Key(), start("unknown").Key()}, "peer")
+		s.AddLeaving([]uint32{start("a").Key(), start("c").Key(), start("unknown").Key()}, "peer")
 		synctest.Wait()
 		require.Equal(t, []string{"b"}, usable(s))
-		require.Equal(t, []uint32{start("a").Key()}, s.Announced(time.Time{}))
+		require.Equal(t, []uint32{start("a").Key()}, s.Leaving(time.Time{}))
 		time.Sleep(time.Second)
-		require.Empty(t, s.Announced(time.Now().Add(-time.Millisecond)), "it is older than the given time")
+		require.Empty(t, s.Leaving(time.Now().Add(-time.Millisecond)), "it is older than the given time")
 		s.Apply(t.Context(), delta(in(1, 5), entry("unknown", 5, "")))
 		synctest.Wait()
 		require.Equal(t, []string{"b", "unknown"}, usable(s), "a notice for an endpoint that is not known is ignored")
@@ -99,7 +99,7 @@
 		}
 		s.Apply(t.Context(), fullRead(in(1, 4), entry("a", 1, "")))
 		synctest.Wait()
-		s.Leaving(start("a"), "answer")
+		s.RecordLeave(start("a"), "answer")
 		time.Sleep(time.Hour)
 		require.Empty(t, back(5), "it is known all the time")
 		s.Apply(t.Context(), delta(in(1, 6), removal("a", 6)))
--- a/internal/deployment/apply.go
+++ b/internal/deployment/apply.go
@@ -155,7 +155,7 @@
 		return s.applyInvalid(b, item, change, u, err)
 	}
 	if old := b.items[item.Key]; len(old.Value) >= largeValue {
-		replaced := append(slices.Clone(s.Past()), old)
+		replaced := append(slices.Clone(s.Replaced()), old)
 		replaced = replaced[max(len(replaced)-replacedKept, 0):]
 		s.replaced.Store(&replaced)
 	}
@@ -260,10 +260,10 @@
 		}
 	}
 	for _, r := range c.Routes {
-		check("route", r.Name, r.Homes)
+		check("route", r.Name, r.Regions)
 	}
 	for _, a := range c.Accounts {
-		check("account", a.Name, a.Homes)
+		check("account", a.Name, a.Regions)
 	}
 }
 
--- a/internal/deployment/carry.go
+++ b/internal/deployment/carry.go
@@ -134,7 +134,7 @@
 // reports whether that changes anything.
 func (s *State) applyCarried(b *builder, u Update, now time.Time) bool {
 	changed := false
-	for _, item := range u.Former {
+	for _, item := range u.Previous {
 		change, err := s.config.Decoder.Decode(item)
 		if err != nil {
 			continue
--- a/internal/deployment/config.go
+++ b/internal/deployment/config.go
@@ -50,8 +50,8 @@
 		// Objective is the target latency of an answer, or of a stream's first
 		// event.
 		Objective time.Duration
-		// Pause is the target for the longest time between two events.
-		Pause time.Duration
+		// EventGap is the target for the longest time between two events.
+		EventGap time.Duration `json:"Pause"`
 		// Attempts is how many endpoints may run one request.
 		Attempts int
 		// Priority is the route's rank; 0 is the most urgent.
@@ -60,9 +60,9 @@
 		Public bool
 		// Cached routes carry prompts, parts of which endpoints cache.
 		Cached bool
-		// Homes are the residency regions of the requests, where they may run; all
+		// Regions are the residency regions of the requests, where they may run; all
 		// regions if empty.
-		Homes []string
+		Regions []string `json:"Homes"`
 	}
 
 	// Share is a service's part of a route's traffic.
@@ -95,9 +95,9 @@
 		Keys []string
 		// Priority takes precedence over the route's; 0 is the most urgent.
 		Priority int
-		// Homes are the residency regions of its requests, where they may run; all
+		// Regions are the residency regions of its requests, where they may run; all
 		// regions if empty.
-		Homes []string
+		Regions []string `json:"Homes"`
 	}
 
 	// Limits bound what a caller may send.
@@ -112,8 +112,8 @@
 // Streams reports whether the kind's answers are events.
 func (k Kind) Streams() bool { return k == Streaming || k == Resumable }
 
-// Repeats reports whether a request of the kind may run more than once.
-func (k Kind) Repeats() bool { return k == Idempotent || k == Resumable }
+// Retryable reports whether a request of the kind may run more than once.
+func (k Kind) Retryable() bool { return k == Idempotent || k == Resumable }
 
 // Index builds the lookup tables; it must be called once before the lookups.
 func (c *Config) Index() {
@@ -148,17 +148,17 @@
 // Account returns the account that holds an API key, or nil if none does.
 func (c *Config) Account(key string) *Account { return c.keys[key] }
 
-// Homes returns the residency regions that all restricted routes of a host have in
+// Regions returns the residency regions that all restricted routes of a host have in
 // common; nil if no route is restricted.
-func (c *Config) Homes(host string) []string {
+func (c *Config) Regions(host string) []string {
 	var homes []string
 	for _, r := range c.hosts[strings.ToLower(host)] {
 		switch {
-		case len(r.Homes) == 0:
+		case len(r.Regions) == 0:
 		case homes == nil:
-			homes = slices.Clone(r.Homes)
+			homes = slices.Clone(r.Regions)
 		default:
-			homes = slices.DeleteFunc(homes, func(h string) bool { return !slices.Contains(r.Homes, h) })
+			homes = slices.DeleteFunc(homes, func(h string) bool { return !slices.Contains(r.Regions, h) })
 		}
 	}
 	return homes
--- a/internal/deployment/endpoint.go
+++ b/internal/deployment/endpoint.go
@@ -148,8 +148,8 @@
 	return list[i]
 }
 
-// Takes reports whether the endpoint may be sent new requests.
-func (e *Endpoint) Takes() bool { return !e.Draining && !e.Evacuated }
+// AcceptsRequests reports whether the endpoint may be sent new requests.
+func (e *Endpoint) AcceptsRequests() bool { return !e.Draining && !e.Evacuated }
 
 // IsCold reports whether the endpoint is cold and sustains only few requests.
 func (e *Endpoint) IsCold(now time.Time) bool { return now.Before(e.ColdUntil) }
--- a/internal/deployment/evacuation_test.go
+++ b/internal/deployment/evacuation_test.go
@@ -28,7 +28,7 @@
 // withheld returns the endpoints that may be sent nothing.
 func withheld(s *deployment.State) (list []string) {
 	for _, e := range s.Snapshot().Endpoints["s"] {
-		if !e.Takes() {
+		if !e.AcceptsRequests() {
 			list = append(list, e.ID)
 		}
 	}
--- a/internal/deployment/property_test.go
+++ b/internal/deployment/property_test.go
@@ -48,14 +48,14 @@
 func TestHostResidencyRegions(t *testing.T) {
 	c := &deployment.Config{Routes: []deployment.Route{
 		{Host: "h", Prefix: "/a/"},
-		{Host: "h", Prefix: "/b/", Homes: []string{"x", "y"}},
-		{Host: "h", Prefix: "/c/", Homes: []string{"y", "z"}},
+		{Host: "h", Prefix: "/b/", Regions: []string{"x", "y"}},
+		{Host: "h", Prefix: "/c/", Regions: []string{"y", "z"}},
 		{Host: "free", Prefix: "/"},
 	}}
 	c.Index()
-	require.Equal(t, []string{"y"}, c.Homes("H"))
-	require.Empty(t, c.Homes("free"))
-	require.Empty(t, c.Homes("unknown"))
+	require.Equal(t, []string{"y"}, c.Regions("H"))
+	require.Empty(t, c.Regions("free"))
+	require.Empty(t, c.Regions("unknown"))
 }
 
 // Every draw picks a service of the split, and never one without weight if another
--- a/internal/deployment/record.go
+++ b/internal/deployment/record.go
@@ -24,16 +24,16 @@
 	// Since is the epoch's revision up to which a removal may be unknown: that of
 	// the newest full read that closed a gap, or 0.
 	Since uint64
-	// Former are items of earlier epochs that still apply though the current one
+	// Previous are items of earlier epochs that still apply though the current one
 	// does not have them.
-	Former []Item
+	Previous []Item
 	// Digest is equal on all nodes that know the same items at the same revisions.
 	Digest uint32
 }
 
 // newRecord returns the record of a builder's state.
 func newRecord(b *builder) *Record {
-	r := &Record{Items: slices.Collect(maps.Values(b.items)), Position: b.position, Since: b.since, Former: b.carriedItems()}
+	r := &Record{Items: slices.Collect(maps.Values(b.items)), Position: b.position, Since: b.since, Previous: b.carriedItems()}
 	for _, i := range r.Items {
 		if !i.Removed {
 			r.Digest ^= i.digest()
--- a/internal/deployment/record_test.go
+++ b/internal/deployment/record_test.go
@@ -123,7 +123,7 @@
 	items, whole := record.After(n.position())
 	return deployment.Update{
 		Items: items, Position: record.Position, Whole: whole, Source: "peer",
-		Former: record.Former, Settling: peer.state.Settling(), Lapsing: peer.state.Lapsing(),
+		Previous: record.Previous, Settling: peer.state.Settling(), Lapsing: peer.state.Lapsing(),
 	}
 }
 
@@ -260,7 +260,7 @@
 				defer n.state.Close()
 				n.apply(t, deployment.Update{Items: []deployment.Item{entry("a", 1, ""), entry("b", 2, "")}, Position: at(2), Whole: true, Source: deployment.SourceStore})
 				if c.readerFailed > 0 {
-					n.state.Doubt()
+					n.state.ReaderFailed()
 					time.Sleep(c.readerFailed)
 				}
 				n.apply(t, deployment.Update{Items: []deployment.Item{entry("b", 2, "")}, Position: at(4), Whole: true, Source: "peer"})
--- a/internal/deployment/restore_test.go
+++ b/internal/deployment/restore_test.go
@@ -35,7 +35,7 @@
 // usable returns the endpoints that may be sent requests.
 func usable(s *deployment.State) (list []string) {
 	for _, e := range s.Snapshot().Endpoints["s"] {
-		if e.Takes() {
+		if e.AcceptsRequests() {
 			list = append(list, e.ID)
 		}
 	}
@@ -278,14 +278,14 @@
 				record := knows.Record()
 				items, whole := record.After(s.Snapshot().Position)
 				s.Apply(t.Context(), deployment.Update{
-					Items: items, Position: record.Position, Whole: whole, Former: record.Former, Settling: knows.Settling(), Lapsing: knows.Lapsing(), Source: "peer",
+					Items: items, Position: record.Position, Whole: whole, Previous: record.Previous, Settling: knows.Settling(), Lapsing: knows.Lapsing(), Source: "peer",
 				})
 				synctest.Wait()
 				require.Empty(t, usable(s))
 				require.Equal(t, uint64(3), s.Snapshot().Config.Version)
 				require.Equal(t, in(2, 4), s.Snapshot().Position)
 				require.LessOrEqual(t, s.Settling(), 9*time.Second, "the remaining time is sent")
-				require.ElementsMatch(t, knows.Record().Former, s.Record().Former, "the next node learns it too")
+				require.ElementsMatch(t, knows.Record().Previous, s.Record().Previous, "the next node learns it too")
 				time.Sleep(settled)
 				synctest.Wait()
 				require.Equal(t, []string{"b", "c"}, usable(s))
--- a/internal/deployment/state.go
+++ b/internal/deployment/state.go
@@ -106,10 +106,10 @@
 		AfterOutage bool
 		// Lapsing is how much longer that may be the case, as a peer reports.
 		Lapsing time.Duration
-		// Former are items of earlier epochs that still apply, as a peer reports;
+		// Previous are items of earlier epochs that still apply, as a peer reports;
 		// those of removed endpoints and of evacuations apply for the time of
 		// Settling.
-		Former   []Item
+		Previous []Item
 		Settling time.Duration
 		// Source is SourceStore or a peer's name.
 		Source string
@@ -165,9 +165,9 @@
 // Items returns all known items, including removed ones.
 func (s *State) Items() []Item { return s.Record().Items }
 
-// Past returns large values that were replaced recently: a peer may still have one,
+// Replaced returns large values that were replaced recently: a peer may still have one,
 // and can be sent a change of it in few bytes.
-func (s *State) Past() []Item { return *s.replaced.Load() }
+func (s *State) Replaced() []Item { return *s.replaced.Load() }
 
 // SetAccess records how the last call to the store ended, or that none is made.
 func (s *State) SetAccess(a Access) {
@@ -199,17 +199,17 @@
 	return max(time.Duration(s.settling.Load())-time.Since(s.start), 0)
 }
 
-// Doubt records that a node which should read the store cannot.
+// ReaderFailed records that a node which should read the store cannot.
 //
 // A node that starts just after an outage finds only the entries that have not
 // lapsed, and cannot know of the outage. If its read were applied as it is, all
 // requests would be refused for lack of endpoints for a second or two. For
 // lapseWindow after this, removals that a peer's full read implies are therefore
 // held back.
-func (s *State) Doubt() { s.readerFailed.Store(int64(time.Since(s.start) + lapseWindow)) }
+func (s *State) ReaderFailed() { s.readerFailed.Store(int64(time.Since(s.start) + lapseWindow)) }
 
-// News returns a channel that signals a change read from the store itself.
-func (s *State) News() <-chan struct{} { return s.changed }
+// Updates returns a channel that signals a change read from the store itself.
+func (s *State) Updates() <-chan struct{} { return s.changed }
 
 // Age returns how long ago the store, or a node that reads it, last confirmed the
 // state, and whether that ever happened.
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -245,7 +245,7 @@
 	for _, r := range p.Requests {
 		c.Routes = append(c.Routes, deployment.Route{
 			Name: r.Name, Host: host, Prefix: r.prefix(), Kind: kinds[r.Kind], Split: []deployment.Share{{Service: r.Service, Weight: 1}},
-			Timeout: r.Timeout, Objective: r.Objective, Pause: 400 * time.Millisecond, Attempts: 2,
+			Timeout: r.Timeout, Objective: r.Objective, EventGap: 400 * time.Millisecond, Attempts: 2,
 		})
 	}
 	for n := range p.Accounts {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -112,7 +112,7 @@
 	switch {
 	case c.id == "" || c.progress.noResponse:
 		return 0
-	case c.route.Kind.Repeats():
+	case c.route.Kind.Retryable():
 		return http1.MaxIdle
 	}
 	return onceMaxIdle
@@ -267,7 +267,7 @@
 // canRetry reports whether the current attempt may be followed by another even
 // if it has run.
 func (c *call) canRetry() bool {
-	return c.route.Kind.Repeats() && c.progress.runs+1 < c.route.Attempts
+	return c.route.Kind.Retryable() && c.progress.runs+1 < c.route.Attempts
 }
 
 // writeResponse writes a complete response to the caller.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -21,15 +21,15 @@
 func residencyOf(r *deployment.Route, a *deployment.Account) residency {
 	var account []string
 	if a != nil {
-		account = a.Homes
+		account = a.Regions
 	}
 	switch {
 	case len(account) == 0:
-		return residency{restricted: len(r.Homes) > 0, regions: r.Homes}
-	case len(r.Homes) == 0:
+		return residency{restricted: len(r.Regions) > 0, regions: r.Regions}
+	case len(r.Regions) == 0:
 		return residency{restricted: true, regions: account}
 	}
-	return residency{restricted: true, regions: slices.DeleteFunc(slices.Clone(r.Homes), func(region string) bool {
+	return residency{restricted: true, regions: slices.DeleteFunc(slices.Clone(r.Regions), func(region string) bool {
 		return !slices.Contains(account, region)
 	})}
 }
@@ -63,7 +63,7 @@
 	}
 	evacuated := false
 	for _, e := range list {
-		if e.Takes() {
+		if e.AcceptsRequests() {
 			return ""
 		}
 		evacuated = evacuated || e.Evacuated && !e.Draining
@@ -84,7 +84,7 @@
 func (c *call) available(e *deployment.Endpoint) bool {
 	h := c.handler.config
 	now := h.Deployment.Snapshot().Find(c.service.Name, e.Start())
-	if now == nil || !now.Takes() {
+	if now == nil || !now.AcceptsRequests() {
 		return false
 	}
 	_, rests := h.Balancer.BackingOff(time.Now(), now)
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			route := deployment.Route{Kind: deployment.Idempotent, Attempts: 2, Objective: 20 * time.Second, Homes: c.residency}
+			route := deployment.Route{Kind: deployment.Idempotent, Attempts: 2, Objective: 20 * time.Second, Regions: c.residency}
 			f := newFixture(t, route, newEndpoint(t, whole(200, "0")), newEndpoint(t, whole(200, "1")))
 			for i, e := range f.snapshot.Endpoints["s"] {
 				e.Zone = []string{"z0", "z1"}[i]
@@ -79,9 +79,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t, deployment.Route{Kind: deployment.Idempotent, Attempts: 1, Homes: c.route},
+			f := newFixture(t, deployment.Route{Kind: deployment.Idempotent, Attempts: 1, Regions: c.route},
 				newEndpoint(t, whole(200, "0")), newEndpoint(t, whole(200, "1")))
-			f.snapshot.Config.Accounts[0].Homes = c.account
+			f.snapshot.Config.Accounts[0].Regions = c.account
 			for i, e := range f.snapshot.Endpoints["s"] {
 				e.Zone = []string{"z0", "z1"}[i]
 			}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -79,8 +79,8 @@
 
 func (d staticDeployment) Age() (time.Duration, bool) { return d.age, true }
 
-// Leaving implements gateway.Deployment.
-func (d staticDeployment) Leaving(s deployment.Start, _ string) {
+// RecordLeave implements gateway.Deployment.
+func (d staticDeployment) RecordLeave(s deployment.Start, _ string) {
 	*d.left = append(*d.left, s.ID)
 	for _, list := range d.snapshot.Endpoints {
 		for _, e := range list {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -44,8 +44,8 @@
 		// Age returns how long ago the store last answered, and whether it
 		// ever did.
 		Age() (time.Duration, bool)
-		// Leaving records an endpoint's leave notice and where it came from.
-		Leaving(s deployment.Start, source string)
+		// RecordLeave records an endpoint's leave notice and where it came from.
+		RecordLeave(s deployment.Start, source string)
 	}
 
 	// Config holds the settings of a Handler.
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -44,7 +44,7 @@
 func (c *call) applyNotice(e *deployment.Endpoint, n Notice) {
 	h := c.handler.config
 	if n.Leaving {
-		h.Deployment.Leaving(e.Start(), sourceAnswer)
+		h.Deployment.RecordLeave(e.Start(), sourceAnswer)
 	}
 	if n.Backoff > 0 {
 		h.Balancer.Backoff(time.Now(), e.Start(), n.Backoff)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -85,7 +85,7 @@
 	if res == resultCut {
 		return unknown(reasonBroken)
 	}
-	if res == resultBroken && (!c.route.Kind.Repeats() || c.progress.runs >= c.route.Attempts) {
+	if res == resultBroken && (!c.route.Kind.Retryable() || c.progress.runs >= c.route.Attempts) {
 		return c.giveUp(reasonBroken)
 	}
 	if try+1 >= maxTries {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -55,7 +55,7 @@
 
 // pauseTimeout returns how long a resumable stream may be silent.
 func (a *attempt) pauseTimeout() time.Duration {
-	return max(time.Duration(pauseFactor*float64(a.call.route.Pause)), minPauseTimeout)
+	return max(time.Duration(pauseFactor*float64(a.call.route.EventGap)), minPauseTimeout)
 }
 
 // checkOrder returns an error if an event is missing before this one.
@@ -104,7 +104,7 @@
 func (c *call) abort(r *refusal) {
 	if c.route.Kind.Streams() {
 		advice := "send it again only if it may run twice"
-		if c.route.Kind.Repeats() {
+		if c.route.Kind.Retryable() {
 			advice = fmt.Sprintf("resume it with %s: %d", c.handler.config.Headers.LastEventID, c.progress.lastEvent)
 		}
 		// An error means that the caller has disconnected.
--- a/internal/gateway/unconfigured_test.go
+++ b/internal/gateway/unconfigured_test.go
@@ -30,8 +30,8 @@
 // Age implements gateway.Deployment: the configuration is current.
 func (*starting) Age() (time.Duration, bool) { return 0, true }
 
-// Leaving implements gateway.Deployment.
-func (*starting) Leaving(deployment.Start, string) {}
+// RecordLeave implements gateway.Deployment.
+func (*starting) RecordLeave(deployment.Start, string) {}
 
 func newStarting(after time.Duration) *starting {
 	s := &starting{configured: make(chan struct{})}
--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -24,7 +24,7 @@
 // A node that missed a change considers itself up to date and keeps applying
 // later changes. Only the digest reveals it, for as long as the node runs.
 func (g *Gossip) compareDigests(l *loop, now time.Time) {
-	own := g.config.Book.Record()
+	own := g.config.Replica.Record()
 	same, other := 1, 0
 	for _, n := range l.table.nodes {
 		switch {
@@ -40,5 +40,5 @@
 	}
 	l.rereadAt = now
 	g.config.Log.Event("record.differs", decision.Fields{"epoch": own.Epoch, "revision": own.Revision, "digest": own.Digest, "same": same, "other": other})
-	g.config.Untold()
+	g.config.Reread()
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -44,27 +44,27 @@
 	Replica interface {
 		Snapshot() *deployment.Snapshot
 		Record() *deployment.Record
-		// Past returns large values that were replaced recently.
-		Past() []deployment.Item
+		// Replaced returns large values that were replaced recently.
+		Replaced() []deployment.Item
 		Apply(ctx context.Context, u deployment.Update)
 		// Access returns whether this node reads the store. Confirm records that a
 		// node that reads it has nothing newer.
 		Access() deployment.Access
 		Confirm()
-		// Doubt records that a node that should read the store cannot.
-		Doubt()
+		// ReaderFailed records that a node that should read the store cannot.
+		ReaderFailed()
 		// Lapsing returns how much longer removals may be the result of a store
 		// outage, and Settling how much longer the store may lack data written
 		// before it was restored.
 		Lapsing() time.Duration
 		Settling() time.Duration
-		// Announced returns the endpoints that have announced that they leave, as
+		// Leaving returns the endpoints that have announced that they leave, as
 		// far as this became known after since, by the Keys of their starts.
-		// LeavingHeard adds those reported by another node.
-		Announced(since time.Time) []uint32
-		LeavingHeard(keys []uint32, source string)
-		// News signals an update that came from the store itself.
-		News() <-chan struct{}
+		// AddLeaving adds those reported by another node.
+		Leaving(since time.Time) []uint32
+		AddLeaving(keys []uint32, source string)
+		// Updates signals an update that came from the store itself.
+		Updates() <-chan struct{}
 	}
 
 	// Work is the state of the node's requests.
@@ -94,16 +94,16 @@
 		// Port is the port for datagrams and RPCs, the same on all nodes.
 		Port uint16
 		// Seeds returns the addresses of some nodes; they may be down or stale.
-		Seeds func() []netip.Addr
-		Book  Replica
+		Seeds   func() []netip.Addr
+		Replica Replica
 		// State returns whether this node takes callers.
 		State func() State
 		Work  Work
-		// Crashed receives the crashes that other nodes report.
-		Crashed func(c Crash)
-		// Untold is called if the store must be reread: a pull from a peer that is
+		// OnCrash receives the crashes that other nodes report.
+		OnCrash func(c Crash)
+		// Reread is called if the store must be reread: a pull from a peer that is
 		// ahead failed, or too many nodes report a different digest.
-		Untold func()
+		Reread func()
 		// MaxDirect is the largest fleet in which nodes gossip directly; larger
 		// ones use relays. 0 means relay.MaxDirect.
 		MaxDirect int
@@ -197,7 +197,7 @@
 		crashes: make(chan Crash, crashesPerHeartbeat), cancel: cancel,
 	}
 	g.view.Store(&View{Known: 1})
-	g.server = newServer(ctx, listener, c.Book)
+	g.server = newServer(ctx, listener, c.Replica)
 	g.running.Go(func() {
 		buffer := make([]byte, 64<<10)
 		for {
@@ -226,7 +226,7 @@
 				g.handle(ctx, l, p, time.Now())
 			case crash := <-g.crashes:
 				l.recentCrashes = append(l.recentCrashes, recentCrash{crash: crash, at: time.Now()})
-			case <-c.Book.News():
+			case <-c.Replica.Updates():
 				g.propagate(ctx, l, time.Now())
 			case now := <-steps.C:
 				g.step(ctx, l, now)
@@ -263,12 +263,12 @@
 // Relayed reports whether the node gets the other nodes' loads through a relay.
 func (g *Gossip) Relayed() bool { return g.View().Relayed }
 
-// Tell sends a crash to the other nodes, or drops it if the queue is full.
-func (g *Gossip) Tell(c Crash) {
+// ReportCrash sends a crash to the other nodes, or drops it if the queue is full.
+func (g *Gossip) ReportCrash(c Crash) {
 	select {
 	case g.crashes <- c:
 	default:
-		g.config.Log.Event("crash.untold", decision.Fields{"print": c.Print})
+		g.config.Log.Event("crash.untold", decision.Fields{"print": c.Fingerprint})
 	}
 }
 
@@ -289,7 +289,7 @@
 // behalf of all: the first storeReaders, in rank order, of the nodes that can.
 // A node that cannot keeps trying only if it is among the first of all nodes.
 func (g *Gossip) Reads() bool {
-	failing := g.config.Book.Access() == deployment.Failing
+	failing := g.config.Replica.Access() == deployment.Failing
 	self := rank(g.config.Self.Name)
 	ahead := 0
 	for _, m := range g.View().Alive {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -105,7 +105,7 @@
 	return &deployment.Record{Items: b.items, Position: b.position()}
 }
 
-func (b *fakeReplica) Past() []deployment.Item {
+func (b *fakeReplica) Replaced() []deployment.Item {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.past
@@ -134,30 +134,30 @@
 
 func (*fakeReplica) Confirm() {}
 
-func (*fakeReplica) Doubt() {}
+func (*fakeReplica) ReaderFailed() {}
 
 func (*fakeReplica) Lapsing() time.Duration { return lapsing }
 
 func (*fakeReplica) Settling() time.Duration { return 0 }
 
-func (b *fakeReplica) News() <-chan struct{} { return b.news }
+func (b *fakeReplica) Updates() <-chan struct{} { return b.news }
 
-// Announced implements gossip.Replica.
-func (b *fakeReplica) Announced(time.Time) []uint32 {
+// Leaving implements gossip.Replica.
+func (b *fakeReplica) Leaving(time.Time) []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving
 }
 
-// LeavingHeard implements gossip.Replica.
-func (b *fakeReplica) LeavingHeard(keys []uint32, _ string) {
+// AddLeaving implements gossip.Replica.
+func (b *fakeReplica) AddLeaving(keys []uint32, _ string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leaving = slices.Compact(slices.Sorted(slices.Values(append(slices.Clone(b.leaving), keys...))))
 }
 
 // addLeaving adds endpoints that have announced that they leave.
-func (b *fakeReplica) addLeaving(keys ...uint32) { b.LeavingHeard(keys, "") }
+func (b *fakeReplica) addLeaving(keys ...uint32) { b.AddLeaving(keys, "") }
 
 func (w *fakeWork) Active() map[uint32]int {
 	w.mu.Lock()
@@ -234,19 +234,19 @@
 	nd := &node{work: &fakeWork{active: map[uint32]int{uint32(n): n}, reading: map[uint32]int{uint32(n): 100 * n}}, state: gossip.Ready}
 	g, err := gossip.New(gossip.Config{
 		Self: gossip.Member{Name: fmt.Sprint("n", n), Zone: fmt.Sprint("z", n%2), IP: f.ip(n), Power: 100, Incarnation: rand.Uint64()},
-		Port: f.port, MaxDirect: f.maxDirect, Seeds: func() []netip.Addr { return []netip.Addr{f.ip(1), f.ip(200)} }, Book: r, Work: nd.work,
+		Port: f.port, MaxDirect: f.maxDirect, Seeds: func() []netip.Addr { return []netip.Addr{f.ip(1), f.ip(200)} }, Replica: r, Work: nd.work,
 		Log: append(log, nil)[0],
 		State: func() gossip.State {
 			nd.mu.Lock()
 			defer nd.mu.Unlock()
 			return nd.state
 		},
-		Crashed: func(c gossip.Crash) {
+		OnCrash: func(c gossip.Crash) {
 			nd.mu.Lock()
 			defer nd.mu.Unlock()
 			nd.crashes = append(nd.crashes, c)
 		},
-		Untold: func() {
+		Reread: func() {
 			nd.mu.Lock()
 			defer nd.mu.Unlock()
 			nd.rereads++
@@ -380,14 +380,14 @@
 	one.work.reports = map[uint32]int{6: 11}
 	one.work.mu.Unlock()
 	f.eventually(func() bool { return len(one.gossip.View().Alive) == 1 }, "the nodes know each other")
-	one.gossip.Tell(gossip.Crash{Print: 9, Endpoint: 3})
+	one.gossip.ReportCrash(gossip.Crash{Fingerprint: 9, Endpoint: 3})
 	f.eventually(func() bool {
 		two.mu.Lock()
 		defer two.mu.Unlock()
 		return len(two.crashes) > 0
 	}, "the crash propagates")
 	two.mu.Lock()
-	require.Equal(t, gossip.Crash{Print: 9, Endpoint: 3}, two.crashes[0])
+	require.Equal(t, gossip.Crash{Fingerprint: 9, Endpoint: 3}, two.crashes[0])
 	two.mu.Unlock()
 	f.eventually(func() bool {
 		two.work.mu.Lock()
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -53,8 +53,8 @@
 	// Crash is an endpoint that broke off while it ran a request, and the
 	// request's fingerprint.
 	Crash struct {
-		Print    uint64 `cbor:"1,keyasint"`
-		Endpoint uint32 `cbor:"2,keyasint"`
+		Fingerprint uint64 `cbor:"1,keyasint"`
+		Endpoint    uint32 `cbor:"2,keyasint"`
 	}
 
 	// heartbeat is what a node sends to each other node.
@@ -75,9 +75,9 @@
 		Epoch uint64 `cbor:"17,keyasint,omitempty"`
 		// Loads are the node's requests in progress by endpoint.
 		Loads map[uint32]int `cbor:"6,keyasint,omitempty"`
-		// Reading are the prompt tokens of these requests that endpoints have yet
+		// PendingPrefill are the prompt tokens of these requests that endpoints have yet
 		// to process.
-		Reading map[uint32]int `cbor:"13,keyasint,omitempty"`
+		PendingPrefill map[uint32]int `cbor:"13,keyasint,omitempty"`
 		// Failures are the node's recently failed attempts by endpoint.
 		Failures map[uint32]int `cbor:"16,keyasint,omitempty"`
 		// Contacts are the addresses of some other nodes.
--- a/internal/gossip/pack.go
+++ b/internal/gossip/pack.go
@@ -61,7 +61,7 @@
 	if r, ok := p.cache[key]; ok {
 		return r, nil
 	}
-	base := valueOf(p.replica.Past(), req.Base)
+	base := valueOf(p.replica.Replaced(), req.Base)
 	if base == nil {
 		base = valueOf(record.Items, req.Base)
 	}
@@ -70,8 +70,8 @@
 		return nil, err
 	}
 	var previous []byte
-	if len(record.Former) > 0 {
-		if previous, err = pack(mapSlice(record.Former, encodeItem), base); err != nil {
+	if len(record.Previous) > 0 {
+		if previous, err = pack(mapSlice(record.Previous, encodeItem), base); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -115,14 +115,14 @@
 	}
 	g.running.Go(func() {
 		defer func() { <-l.pulling }()
-		if g.config.Book.Access() == deployment.Reading {
+		if g.config.Replica.Access() == deployment.Reading {
 			select {
 			case <-time.After(pullDelay):
 			case <-ctx.Done():
 				return
 			}
 		}
-		after := g.config.Book.Snapshot().Position
+		after := g.config.Replica.Snapshot().Position
 		if from, ok := g.View().aheadOf(after); ok {
 			g.fetch(ctx, from, after)
 		}
@@ -159,7 +159,7 @@
 func (g *Gossip) fetch(ctx context.Context, from Member, after deployment.Position) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	items := g.config.Book.Record().Items
+	items := g.config.Replica.Record().Items
 	req := itemsRequest{After: after.Revision, Epoch: after.Epoch, Base: largest(items)}
 	reply, err := g.client.items(ctx, from.IP, req)
 	var changed, previous []item
@@ -168,16 +168,16 @@
 	}
 	if err != nil {
 		g.config.Log.Event("pull.failed", decision.Fields{"peer": from.Name, "epoch": after.Epoch, "after": after.Revision, "error": err.Error()})
-		g.config.Untold()
+		g.config.Reread()
 		return
 	}
 	g.config.Log.Event("pull", decision.Fields{
 		"peer": from.Name, "after": after.Revision, "epoch": reply.Epoch, "revision": reply.Revision, "whole": reply.Whole, "items": len(changed),
 		"former": len(previous), "bytes": len(reply.Packed) + len(reply.Previous),
 	})
-	g.config.Book.Apply(ctx, deployment.Update{
+	g.config.Replica.Apply(ctx, deployment.Update{
 		Items: mapSlice(changed, decodeItem), Position: deployment.Position{Epoch: reply.Epoch, Revision: reply.Revision}, Whole: reply.Whole,
-		Lapsing: reply.Lapsing, Former: mapSlice(previous, decodeItem), Settling: reply.Settling, Source: from.Name,
+		Lapsing: reply.Lapsing, Previous: mapSlice(previous, decodeItem), Settling: reply.Settling, Source: from.Name,
 	})
 }
 
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -70,10 +70,10 @@
 		g.publish(l, now)
 	}
 	if b.Access == deployment.Failing {
-		g.config.Book.Doubt()
+		g.config.Replica.ReaderFailed()
 	}
 	if !g.pullIfBehind(ctx, l, b.position(), now) && b.Access == deployment.Reading {
-		g.config.Book.Confirm()
+		g.config.Replica.Confirm()
 	}
 }
 
@@ -81,7 +81,7 @@
 // of the store: it starts a pull if this node is behind, and reports whether it
 // is.
 func (g *Gossip) pullIfBehind(ctx context.Context, l *loop, at deployment.Position, now time.Time) bool {
-	own := g.config.Book.Snapshot().Position
+	own := g.config.Replica.Snapshot().Position
 	if !own.Before(at) {
 		g.pullPrevious(ctx, l, own, at)
 		return false
@@ -101,10 +101,10 @@
 		}
 	}
 	for _, c := range b.Crashes {
-		g.config.Crashed(c)
+		g.config.OnCrash(c)
 	}
 	if len(b.Leaving) > 0 {
-		g.config.Book.LeavingHeard(b.Leaving, source)
+		g.config.Replica.AddLeaving(b.Leaving, source)
 	}
 	if len(b.EndpointLoads) > 0 {
 		g.config.Work.AddReports(now, b.EndpointLoads)
@@ -123,7 +123,7 @@
 // caught up. It runs once per heartbeat, so the time is too long by up to one
 // interval.
 func (g *Gossip) observeBehind(l *loop, now time.Time) {
-	if l.behindSince.IsZero() || g.config.Book.Snapshot().Before(g.View().newest()) {
+	if l.behindSince.IsZero() || g.config.Replica.Snapshot().Before(g.View().newest()) {
 		return
 	}
 	g.config.Metrics.behind.Update(now.Sub(l.behindSince).Seconds())
--- a/internal/gossip/relayed.go
+++ b/internal/gossip/relayed.go
@@ -153,7 +153,7 @@
 func newReport(b *heartbeat, addr netip.Addr) relay.Report {
 	r := relay.Report{
 		ID: shortID(b.ID), Addr: addr, Sequence: b.Sequence, Status: statusOf(b.State, b.Access), Position: b.position(),
-		Loads: b.Loads, Reading: b.Reading, Failures: b.Failures, Follows: b.Delivery == deliverFollow,
+		Loads: b.Loads, PendingPrefill: b.PendingPrefill, Failures: b.Failures, Follows: b.Delivery == deliverFollow,
 		Updates: relay.Updates{Placements: b.Placements, EndpointLoads: b.EndpointLoads, Leaving: b.Leaving},
 	}
 	for _, c := range b.Crashes {
@@ -233,7 +233,7 @@
 		n.member.Access = access(status)
 	}
 	if access(status) == deployment.Failing {
-		g.config.Book.Doubt()
+		g.config.Replica.ReaderFailed()
 	}
 }
 
--- a/internal/gossip/relayed_test.go
+++ b/internal/gossip/relayed_test.go
@@ -54,7 +54,7 @@
 	sender.work.placements = []balance.Placement{{Part: 77, Endpoint: 6}}
 	sender.work.reports = map[uint32]int{66: 11}
 	sender.work.mu.Unlock()
-	sender.gossip.Tell(gossip.Crash{Print: 9, Endpoint: 3})
+	sender.gossip.ReportCrash(gossip.Crash{Fingerprint: 9, Endpoint: 3})
 	f.eventually(func() bool {
 		receiver.work.mu.Lock()
 		defer receiver.work.mu.Unlock()
@@ -152,7 +152,7 @@
 			list[2].replica.addLeaving(42)
 			list = append(list, f.start(len(list)+1, &fakeReplica{}))
 			for _, nd := range list {
-				f.eventually(func() bool { return len(nd.replica.Announced(time.Time{})) == 2 }, "both endpoints are known")
+				f.eventually(func() bool { return len(nd.replica.Leaving(time.Time{})) == 2 }, "both endpoints are known")
 			}
 		})
 	}
--- a/internal/gossip/restore_test.go
+++ b/internal/gossip/restore_test.go
@@ -58,7 +58,7 @@
 	f.serve(2, started)
 	f.eventually(func() bool {
 		e := started.Snapshot().Endpoints["s"]
-		return len(e) == 2 && e[0].Takes() && !e[1].Takes()
+		return len(e) == 2 && e[0].AcceptsRequests() && !e[1].AcceptsRequests()
 	}, "the removal is known")
 }
 
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -61,8 +61,8 @@
 func (g *Gossip) broadcast(l *loop, now time.Time) {
 	b := g.heartbeat(l, l.broadcastTimes, now)
 	if l.broadcasts%digestEvery == 0 || g.usesRelays() {
-		b.Digest = g.config.Book.Record().Digest
-		b.Leaving = g.config.Book.Announced(time.Time{})
+		b.Digest = g.config.Replica.Record().Digest
+		b.Leaving = g.config.Replica.Leaving(time.Time{})
 	}
 	l.broadcasts++
 	data := g.encode(b)
@@ -89,14 +89,14 @@
 // heartbeat returns a heartbeat with the updates since the last ones of its kind.
 func (g *Gossip) heartbeat(l *loop, t sendTimes, now time.Time) *heartbeat {
 	l.sequence++
-	at := g.config.Book.Record().Position
+	at := g.config.Replica.Record().Position
 	return &heartbeat{
 		ID: g.config.Self.Incarnation, Sequence: l.sequence, Epoch: at.Epoch, Revision: at.Revision,
-		State: g.config.State(), Access: g.config.Book.Access(),
-		Loads: g.config.Work.Active(), Reading: g.config.Work.PendingPrefill(), Failures: g.config.Work.Failures(now), Contacts: l.contacts(contactsPerHeartbeat), Crashes: l.crashes(now),
+		State: g.config.State(), Access: g.config.Replica.Access(),
+		Loads: g.config.Work.Active(), PendingPrefill: g.config.Work.PendingPrefill(), Failures: g.config.Work.Failures(now), Contacts: l.contacts(contactsPerHeartbeat), Crashes: l.crashes(now),
 		// Each placement is sent twice, as datagrams get lost.
 		Placements: g.config.Work.Placements(now, t.previous), EndpointLoads: g.config.Work.Reports(now, t.last),
-		Leaving: g.config.Book.Announced(now.Add(-repeatLeavingFor)),
+		Leaving: g.config.Replica.Leaving(now.Add(-repeatLeavingFor)),
 	}
 }
 
@@ -104,7 +104,7 @@
 func (g *Gossip) introduction(l *loop, identify bool, now time.Time) []byte {
 	b := g.heartbeat(l, l.broadcastTimes, now)
 	b.From, b.Identify, b.Contacts = &g.config.Self, identify, l.contacts(contactsPerIntroduction)
-	b.Leaving = g.config.Book.Announced(time.Time{})
+	b.Leaving = g.config.Replica.Leaving(time.Time{})
 	return g.encode(b)
 }
 
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -197,7 +197,7 @@
 		res = resultChanged
 	}
 	n.member.State, n.member.Access = b.State, b.Access
-	n.sequence, n.position, n.loads, n.reading, n.failures = b.Sequence, b.position(), b.Loads, b.Reading, b.Failures
+	n.sequence, n.position, n.loads, n.reading, n.failures = b.Sequence, b.position(), b.Loads, b.PendingPrefill, b.Failures
 	n.lastSeen, n.alive = now, true
 	if b.Digest != 0 {
 		n.digest, n.digestAt = b.Digest, b.position()
@@ -235,7 +235,7 @@
 	slices.SortFunc(living, func(a, b *node) int { return cmp.Compare(a.member.Name, b.member.Name) })
 	v := &View{Known: len(t.nodes) + 1, loads: map[uint32]int{}, reading: map[uint32]int{}, failures: map[uint32]int{}}
 	if sums != nil {
-		v.loads, v.reading, v.failures, v.Relayed = sums.Loads, sums.Reading, sums.Failures, true
+		v.loads, v.reading, v.failures, v.Relayed = sums.Loads, sums.PendingPrefill, sums.Failures, true
 	}
 	var ages time.Duration
 	for _, n := range living {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -50,8 +50,8 @@
 	// Crash is an endpoint that broke off while it ran a request, and the
 	// request's fingerprint.
 	Crash struct {
-		Print    uint64 `cbor:"1,keyasint"`
-		Endpoint uint32 `cbor:"2,keyasint"`
+		Fingerprint uint64 `cbor:"1,keyasint"`
+		Endpoint    uint32 `cbor:"2,keyasint"`
 	}
 
 	// Updates are sent only when they are new, unlike the rest of a report.
@@ -73,10 +73,10 @@
 		Status   Status
 		// Position is the store's position up to which the node is up to date.
 		deployment.Position
-		// Loads are its requests in progress by endpoint, and Reading the prompt
+		// Loads are its requests in progress by endpoint, and PendingPrefill the prompt
 		// tokens of these that endpoints have yet to process.
-		Loads   map[uint32]int
-		Reading map[uint32]int
+		Loads          map[uint32]int
+		PendingPrefill map[uint32]int
 		// Failures are its recently failed attempts by endpoint.
 		Failures map[uint32]int
 		// Follows asks the relay for summaries of the fleet.
@@ -99,9 +99,9 @@
 		Statuses []byte `cbor:"6,keyasint,omitempty"`
 		// Lost are nodes that have become unreachable.
 		Lost IDs `cbor:"7,keyasint,omitempty"`
-		// Loads, Reading and Failures are the sums over the covered nodes.
-		Loads   map[uint32]int `cbor:"8,keyasint,omitempty"`
-		Reading map[uint32]int `cbor:"9,keyasint,omitempty"`
+		// Loads, PendingPrefill and Failures are the sums over the covered nodes.
+		Loads          map[uint32]int `cbor:"8,keyasint,omitempty"`
+		PendingPrefill map[uint32]int `cbor:"9,keyasint,omitempty"`
 		// Age is the mean age of the loads, and Oldest the highest.
 		Age    time.Duration `cbor:"10,keyasint"`
 		Oldest time.Duration `cbor:"11,keyasint"`
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -227,7 +227,7 @@
 	n := relay.New(relay.Config{ID: 1, Zone: "z", Power: 1})
 	peer := relay.Peer{ID: 9, Zone: "z", Power: 100, FirstSeen: now, LastSeen: now}
 	other := relay.Peer{ID: 8, Zone: "z", Power: 100, FirstSeen: now, LastSeen: now}
-	n.Step(now, []relay.Peer{peer, other}, relay.Report{ID: 1, Sequence: 1, Loads: map[uint32]int{5: 1}, Reading: map[uint32]int{5: 100}, Failures: map[uint32]int{5: 3}})
+	n.Step(now, []relay.Peer{peer, other}, relay.Report{ID: 1, Sequence: 1, Loads: map[uint32]int{5: 1}, PendingPrefill: map[uint32]int{5: 100}, Failures: map[uint32]int{5: 3}})
 	for _, from := range []relay.Peer{peer, other} {
 		s := &relay.Summary{ID: from.ID, Zone: "z", Sequence: 1, Fleet: true, Covered: relay.IDs(nil).Add(1), Statuses: []byte{1}}
 		n.ReceiveSummary(now, from, s, 1)
@@ -235,7 +235,7 @@
 	s := n.Sums(now)
 	require.NotNil(t, s)
 	s.Loads[5]++
-	s.Reading[5]++
+	s.PendingPrefill[5]++
 	s.Failures[5]++
 	require.Equal(t, 1, s.Loads[5])
 }
--- a/internal/relay/sum.go
+++ b/internal/relay/sum.go
@@ -11,10 +11,10 @@
 
 // Sums are the loads of all other nodes.
 type Sums struct {
-	// Loads, Reading and Failures are the sums over the other covered nodes.
-	Loads    map[uint32]int
-	Reading  map[uint32]int
-	Failures map[uint32]int
+	// Loads, PendingPrefill and Failures are the sums over the other covered nodes.
+	Loads          map[uint32]int
+	PendingPrefill map[uint32]int
+	Failures       map[uint32]int
 	// Covered are the nodes included in the sums.
 	Covered map[ID]bool
 	// Age is the mean age of the loads, and Oldest the highest.
@@ -42,7 +42,7 @@
 	}
 	since := now.Sub(n.fleetAt)
 	s := &Sums{
-		Loads: copied(fleet.Loads), Reading: copied(fleet.Reading), Failures: copied(fleet.Failures),
+		Loads: copied(fleet.Loads), PendingPrefill: copied(fleet.PendingPrefill), Failures: copied(fleet.Failures),
 		Covered: map[ID]bool{}, Age: fleet.Age + since, Oldest: fleet.Oldest + since,
 	}
 	fleet.Covered.Each(func(_ int, id ID) { s.Covered[id] = true })
@@ -54,7 +54,7 @@
 		return nil
 	}
 	subtract(s.Loads, n.ownReports[i].Loads)
-	subtract(s.Reading, n.ownReports[i].Reading)
+	subtract(s.PendingPrefill, n.ownReports[i].PendingPrefill)
 	subtract(s.Failures, n.ownReports[i].Failures)
 	return s
 }
@@ -65,13 +65,13 @@
 func (n *Node) zoneSummary(now time.Time, peers []Peer, own Report, first bool) *Summary {
 	s := &Summary{
 		ID: n.config.ID, Zone: n.config.Zone, Sequence: n.sequence,
-		Loads: map[uint32]int{}, Reading: map[uint32]int{}, Failures: map[uint32]int{}, Updates: n.toRelays.take(),
+		Loads: map[uint32]int{}, PendingPrefill: map[uint32]int{}, Failures: map[uint32]int{}, Updates: n.toRelays.take(),
 	}
 	var ages time.Duration
 	add := func(r *Report, age time.Duration) {
 		s.Covered, s.Statuses = s.Covered.Add(r.ID), append(s.Statuses, byte(r.Status))
 		add(s.Loads, r.Loads)
-		add(s.Reading, r.Reading)
+		add(s.PendingPrefill, r.PendingPrefill)
 		add(s.Failures, r.Failures)
 		ages += age
 		s.Oldest = max(s.Oldest, age)
@@ -147,7 +147,7 @@
 	}
 	fleet := *own
 	fleet.Fleet, fleet.Lost, fleet.Updates = true, nil, n.toFollowers.take()
-	fleet.Loads, fleet.Reading, fleet.Failures = copied(own.Loads), copied(own.Reading), copied(own.Failures)
+	fleet.Loads, fleet.PendingPrefill, fleet.Failures = copied(own.Loads), copied(own.PendingPrefill), copied(own.Failures)
 	fleet.Covered, fleet.Statuses = slices.Clone(own.Covered), slices.Clone(own.Statuses)
 	ages := own.Age * time.Duration(own.Covered.Len())
 	for _, zone := range slices.Sorted(maps.Keys(best)) {
@@ -175,7 +175,7 @@
 	since := now.Sub(p.receivedAt)
 	fleet.Covered, fleet.Statuses = append(fleet.Covered, p.summary.Covered...), append(fleet.Statuses, p.summary.Statuses...)
 	add(fleet.Loads, p.summary.Loads)
-	add(fleet.Reading, p.summary.Reading)
+	add(fleet.PendingPrefill, p.summary.PendingPrefill)
 	add(fleet.Failures, p.summary.Failures)
 	fleet.Oldest = max(fleet.Oldest, p.summary.Oldest+since)
 	fleet.addPosition(p.summary.Position(), p.summary.UpToDate)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -93,7 +93,7 @@
 func route(name string, kind deployment.Kind, service string, attempts int) deployment.Route {
 	return deployment.Route{
 		Name: name, Host: standin.Host(), Prefix: "/" + name + "/", Kind: kind, Split: []deployment.Share{{Service: service, Weight: 1}},
-		Timeout: routeTimeout, Objective: time.Second, Pause: 400 * time.Millisecond, Attempts: attempts, Public: true,
+		Timeout: routeTimeout, Objective: time.Second, EventGap: 400 * time.Millisecond, Attempts: attempts, Public: true,
 	}
 }
 
