--- a/bulrushhinge.go
+++ b/bulrushhinge.go
@@ -149,7 +149,7 @@
 		holder:  gate.NewHolder(),
 		meter:   capacity.NewMeter(),
 	}
-	n.endpoints = endpoint.NewClient(endpoint.ClientConfig{Dialer: c.Dialer, Heard: func(addr netip.AddrPort, w endpoint.Notice) {
+	n.endpoints = endpoint.NewClient(endpoint.ClientConfig{Dialer: c.Dialer, OnNotice: func(addr netip.AddrPort, w endpoint.Notice) {
 		n.control.handleNotice(addr, w)
 	}})
 	self := kernel.Node{
@@ -255,8 +255,8 @@
 func (n *Node) role() platform.Role {
 	v := n.control.View()
 	return platform.Role{
-		Watcher: v.Watcher || v.At.IsZero(),
-		Heard:   v.ListVersion, Listed: v.Listed,
+		Watcher:  v.Watcher || v.At.IsZero(),
+		Reported: v.ListVersion, Listed: v.Listed,
 	}
 }
 
--- a/cmd/bulrushhinge/state.go
+++ b/cmd/bulrushhinge/state.go
@@ -66,7 +66,7 @@
 	}))
 	fmt.Println("\nendpoints")
 	table([]string{"endpoint", "service", "zone", "state", "home", "requests", "tokens"}, rowsOf(instances.Endpoints, func(i operator.Instance) []string {
-		return []string{i.Name, i.Service, i.Zone, i.State.String(), i.Home, fmt.Sprint(i.Requests), fmt.Sprint(i.Tokens)}
+		return []string{i.Name, i.Service, i.Zone, i.State.String(), i.Owner, fmt.Sprint(i.Requests), fmt.Sprint(i.Tokens)}
 	}))
 	return nil
 }
--- a/control.go
+++ b/control.go
@@ -330,8 +330,8 @@
 			if n.Leaving {
 				c.tryOffer(kernel.EndpointNotice{Endpoint: e.Name, Leaving: true, Incarnation: n.Incarnation})
 			}
-			if n.Rest > 0 {
-				c.tryOffer(kernel.EndpointBackoff{Endpoint: e.Name, Until: now.Add(n.Rest)})
+			if n.Backoff > 0 {
+				c.tryOffer(kernel.EndpointBackoff{Endpoint: e.Name, Until: now.Add(n.Backoff)})
 			}
 		}
 	}
--- a/gateway.go
+++ b/gateway.go
@@ -165,7 +165,7 @@
 		OnCrash: func(k gossip.Crash) { crashes.Record(time.Now(), k.Fingerprint, k.Endpoint) },
 		Reread: func() {
 			if f := follower.Load(); f != nil {
-				f.Read()
+				f.Reread()
 			}
 		},
 	})
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -74,9 +74,9 @@
 		// Resume is the time that an endpoint has to answer when it is asked to
 		// resume or cancel an attempt; 0 is DefaultResume.
 		Resume time.Duration
-		// Heard is called with each notice in an endpoint's answer; it may be
+		// OnNotice is called with each notice in an endpoint's answer; it may be
 		// nil.
-		Heard func(addr netip.AddrPort, n Notice)
+		OnNotice func(addr netip.AddrPort, n Notice)
 	}
 
 	// Client calls endpoints over HTTP. It is safe for concurrent use.
@@ -102,8 +102,8 @@
 // retry. For the same reason no redirect is followed: a 307 or 308 would send
 // the body again.
 func NewClient(c ClientConfig) *Client {
-	if c.Heard == nil {
-		c.Heard = func(netip.AddrPort, Notice) {}
+	if c.OnNotice == nil {
+		c.OnNotice = func(netip.AddrPort, Notice) {}
 	}
 	dialer := c.Dialer
 	if dialer == nil {
@@ -262,7 +262,7 @@
 
 func newHTTP(c ClientConfig, t *http.Transport) *http.Client {
 	return &http.Client{
-		Transport:     noticeTransport{next: t, onNotice: c.Heard},
+		Transport:     noticeTransport{next: t, onNotice: c.OnNotice},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -268,9 +268,9 @@
 	}{
 		"leaves":                     {200, map[string]string{endpoint.HeaderLeaving: "7"}, endpoint.Notice{Leaving: true, Incarnation: 7}},
 		"leaves, of unknown start":   {404, map[string]string{endpoint.HeaderLeaving: "0"}, endpoint.Notice{Leaving: true}},
-		"rests":                      {503, map[string]string{endpoint.HeaderNotRun: "1", endpoint.HeaderRest: "2"}, endpoint.Notice{Rest: 2 * time.Second}},
-		"nothing that can be read":   {503, map[string]string{endpoint.HeaderLeaving: "soon", endpoint.HeaderRest: "later"}, endpoint.Notice{}},
-		"a rest with another status": {200, map[string]string{endpoint.HeaderRest: "2"}, endpoint.Notice{}},
+		"rests":                      {503, map[string]string{endpoint.HeaderNotRun: "1", endpoint.HeaderBackoff: "2"}, endpoint.Notice{Backoff: 2 * time.Second}},
+		"nothing that can be read":   {503, map[string]string{endpoint.HeaderLeaving: "soon", endpoint.HeaderBackoff: "later"}, endpoint.Notice{}},
+		"a rest with another status": {200, map[string]string{endpoint.HeaderBackoff: "2"}, endpoint.Notice{}},
 	}
 	for call, do := range calls {
 		for what, c := range responses {
@@ -284,7 +284,7 @@
 				defer s.Close()
 				addr := netip.MustParseAddrPort(s.Listener.Addr().String())
 				notices := make(chan endpoint.Notice, 10)
-				client := endpoint.NewClient(endpoint.ClientConfig{Heard: func(at netip.AddrPort, n endpoint.Notice) {
+				client := endpoint.NewClient(endpoint.ClientConfig{OnNotice: func(at netip.AddrPort, n endpoint.Notice) {
 					require.Equal(t, addr, at)
 					notices <- n
 				}})
--- a/internal/endpoint/notice.go
+++ b/internal/endpoint/notice.go
@@ -17,8 +17,8 @@
 		// the incarnation that leaves, 0 if the endpoint does not name it.
 		Leaving     bool
 		Incarnation uint64
-		// Rest is the backoff: how long it wants no requests from this node.
-		Rest time.Duration
+		// Backoff is how long it wants no requests from this node.
+		Backoff time.Duration
 	}
 
 	// noticeTransport is a transport that reports the notices in all answers.
@@ -52,7 +52,7 @@
 		n.Leaving, n.Incarnation = err == nil, incarnation
 	}
 	if http1.IsOverload(resp.StatusCode) {
-		n.Rest = http1.RetryAfter(resp.Header[HeaderRest])
+		n.Backoff = http1.RetryAfter(resp.Header[HeaderBackoff])
 	}
 	return n
 }
--- a/internal/endpoint/wire.go
+++ b/internal/endpoint/wire.go
@@ -15,9 +15,9 @@
 	// HeaderLeaving is set on all answers of an endpoint that leaves: its
 	// incarnation, or 0 if it has none.
 	HeaderLeaving = "X-Leaving"
-	// HeaderRest is the backoff on a refusal: the number of seconds in which the
+	// HeaderBackoff is the backoff on a refusal: the number of seconds in which the
 	// endpoint wants no requests from this node.
-	HeaderRest = "Retry-After"
+	HeaderBackoff = "Retry-After"
 	// HeaderChat names the chat whose prefix the engine may reuse.
 	HeaderChat = "X-Chat"
 )
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -57,8 +57,8 @@
 		Zone    string       `json:"zone"`
 		Service string       `json:"service,omitempty"`
 		State   kernel.State `json:"state"`
-		// Home is the owner: the node that admits work to an endpoint.
-		Home string `json:"home,omitempty"`
+		// Owner is the owner: the node that admits work to an endpoint.
+		Owner string `json:"home,omitempty"`
 		// Requests and Tokens are an endpoint's outstanding work.
 		Requests int `json:"requests,omitempty"`
 		Tokens   int `json:"tokens,omitempty"`
@@ -136,7 +136,7 @@
 	for _, name := range services(v) {
 		for _, e := range v.Pools[name].Endpoints {
 			i.Endpoints = append(i.Endpoints, Instance{
-				Name: e.Name, Zone: e.Zone, Service: e.Service, State: e.State, Home: e.Owner,
+				Name: e.Name, Zone: e.Zone, Service: e.Service, State: e.State, Owner: e.Owner,
 				Requests: e.Load.Requests, Tokens: e.Load.Tokens,
 			})
 		}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -135,7 +135,7 @@
 	var instances operator.Instances
 	require.NoError(t, json.Unmarshal([]byte(body), &instances))
 	require.Equal(t, kernel.Leaving, instances.Nodes[1].State)
-	require.Equal(t, operator.Instance{Name: "w1", Service: "engines", Home: "n1", Requests: 3, Tokens: 50}, instances.Endpoints[0])
+	require.Equal(t, operator.Instance{Name: "w1", Service: "engines", Owner: "n1", Requests: 3, Tokens: 50}, instances.Endpoints[0])
 	_, body = get(h, "/state", token)
 	require.JSONEq(t, `{"config":"dumped"}`, body)
 }
--- a/internal/platform/reader.go
+++ b/internal/platform/reader.go
@@ -42,10 +42,10 @@
 		// Watcher is set if the node watches the platform; other nodes receive
 		// changes from their peers and read rarely.
 		Watcher bool
-		// Heard is the newest version of the instance list that peers reported,
+		// Reported is the newest version of the instance list that peers reported,
 		// Listed the version that the node has.
-		Heard  uint64
-		Listed uint64
+		Reported uint64
+		Listed   uint64
 	}
 
 	// ReaderConfig is the settings of a Reader.
@@ -188,15 +188,15 @@
 // the node does not have; 0 is none.
 func (r *Reader) missingList() uint64 {
 	role := r.config.Role()
-	if role.Heard <= role.Listed {
+	if role.Reported <= role.Listed {
 		return 0
 	}
-	return role.Heard
+	return role.Reported
 }
 
 func (r *Reader) olderList(v Value) bool {
 	role := r.config.Role()
-	return v.Version < max(role.Heard, role.Listed)
+	return v.Version < max(role.Reported, role.Listed)
 }
 
 func (r *Reader) olderRecord(v Value) bool {
--- a/internal/platform/reader_test.go
+++ b/internal/platform/reader_test.go
@@ -488,7 +488,7 @@
 		require.Less(t, after-before, 200, "reads an hour")
 		f.set(platform.KeyInstances, list)
 		mu.Lock()
-		role.Heard = 2
+		role.Reported = 2
 		mu.Unlock()
 		time.Sleep(applyTimeout)
 		require.Equal(t, uint64(2), status(r, platform.KeyInstances).Version)
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -137,7 +137,7 @@
 	e.refused++
 	e.mu.Unlock()
 	if f.Rest > 0 {
-		w.Header().Set(endpoint.HeaderRest, strconv.FormatFloat(f.Rest.Seconds(), 'f', -1, 64))
+		w.Header().Set(endpoint.HeaderBackoff, strconv.FormatFloat(f.Rest.Seconds(), 'f', -1, 64))
 	}
 	w.Header().Set(endpoint.HeaderNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -146,9 +146,9 @@
 	return f
 }
 
-// Read makes the node read the whole store once, also if others read it for this
+// Reread makes the node read the whole store once, also if others read it for this
 // node.
-func (f *Follower) Read() {
+func (f *Follower) Reread() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
