--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -164,7 +164,7 @@
 	for _, s := range r.config.Plan.Services {
 		most, total := 0, 0
 		for _, e := range r.endpoints[s.Name] {
-			load := e.Present()
+			load := e.InFlight()
 			most, total = max(most, load), total+load
 		}
 		r.result.addLoad(s.Name, now.Sub(r.began), most, float64(total)/float64(s.Endpoints))
@@ -179,8 +179,8 @@
 	random := rand.New(rand.NewPCG(r.config.Plan.Seed, uint64(f.At)))
 	switch f.Kind {
 	case FaultOutage:
-		r.store.Down(true)
-		defer r.store.Down(false)
+		r.store.SetDown(true)
+		defer r.store.SetDown(false)
 		wait(ctx, f.For)
 	case FaultCrash:
 		r.crashEndpoints(ctx, f, random)
@@ -197,8 +197,8 @@
 	}
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, e := range all[:min(f.Count, len(all))] {
-		e.Break(true)
-		defer e.Break(false)
+		e.SetFailing(true)
+		defer e.SetFailing(false)
 	}
 	wait(ctx, f.For)
 }
--- a/internal/loopback/notice_test.go
+++ b/internal/loopback/notice_test.go
@@ -85,13 +85,13 @@
 			f := start(t, small())
 			e := preferred(t, f, "n1")
 			e.SetFaults(standin.EndpointFaults{Shed: true, Rest: time.Hour})
-			require.Eventually(t, func() bool { return askInARow(f, "n1", once) && e.Turned() > 0 }, patience, time.Millisecond, "it has turned one away")
+			require.Eventually(t, func() bool { return askInARow(f, "n1", once) && e.Refused() > 0 }, patience, time.Millisecond, "it has turned one away")
 			// An endpoint that failed is tried again after this time.
 			time.Sleep(pool.DefaultQuiet)
 			for range rounds {
 				require.True(t, askInARow(f, "n1", once))
 			}
-			require.Equal(t, 1, e.Turned())
+			require.Equal(t, 1, e.Refused())
 		})
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -51,9 +51,9 @@
 		return n.Node
 	}},
 	{name: "store down", inject: func(ctx context.Context, s *soak, r *rand.Rand) string {
-		s.world.store.Down(true)
+		s.world.store.SetDown(true)
 		wait(ctx, r, 5*time.Second)
-		s.world.store.Down(false)
+		s.world.store.SetDown(false)
 		return "refuses all"
 	}},
 	{name: "store forgets", inject: func(_ context.Context, s *soak, _ *rand.Rand) string {
@@ -89,9 +89,9 @@
 		if e == nil {
 			return ""
 		}
-		e.standIn.Break(true)
+		e.standIn.SetFailing(true)
 		wait(ctx, r, 2*time.Second)
-		e.standIn.Break(false)
+		e.standIn.SetFailing(false)
 		return e.id
 	}},
 	{name: "endpoint crashes", inject: func(_ context.Context, s *soak, r *rand.Rand) string {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -206,7 +206,7 @@
 // entryTTL.
 func (w *world) crash(e *endpoint) error {
 	w.remove(e)
-	e.standIn.Break(true)
+	e.standIn.SetFailing(true)
 	e.stop()
 	go func() {
 		time.Sleep(entryTTL)
@@ -227,11 +227,11 @@
 	w.mu.Lock()
 	for _, e := range w.endpoints {
 		if e.zone == zone && e.service == serviceEngine {
-			e.standIn.Cool(coldTime)
+			e.standIn.SetCold(coldTime)
 		}
 	}
 	w.mu.Unlock()
-	w.store.TakeBack(zone)
+	w.store.EndEvacuation(zone)
 	return nil
 }
 
@@ -241,14 +241,14 @@
 	const age, outage, until = 4 * time.Second, 2 * time.Second, 300 * time.Millisecond
 	c := w.store.Copy()
 	pause(age)
-	w.store.Down(true)
+	w.store.SetDown(true)
 	pause(outage)
 	lost := w.store.Restore(c)
-	w.store.Down(false)
+	w.store.SetDown(false)
 	r.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 	for _, change := range lost {
 		pause(until)
-		w.store.Again(change)
+		w.store.Reapply(change)
 	}
 	return fmt.Sprintf("%d keys had changed", len(lost))
 }
@@ -260,7 +260,7 @@
 	defer w.mu.Unlock()
 	most := 0
 	for _, e := range w.endpoints {
-		most = max(most, e.standIn.Chilled())
+		most = max(most, e.standIn.PeakColdRate())
 	}
 	return most
 }
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -143,8 +143,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Turned returns how many requests were refused because of the Shed fault.
-func (e *Endpoint) Turned() int {
+// Refused returns how many requests were refused because of the Shed fault.
+func (e *Endpoint) Refused() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.refused
