--- a/internal/builtin/builtin.go
+++ b/internal/builtin/builtin.go
@@ -7,8 +7,8 @@
 	"bulrushhinge.example/bulrushhinge/internal/config"
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/leave"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
-	"bulrushhinge.example/bulrushhinge/internal/mark"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
 	"bulrushhinge.example/bulrushhinge/internal/poison"
 	"bulrushhinge.example/bulrushhinge/internal/pool"
@@ -21,7 +21,7 @@
 	Membership membership.Config
 	Pool       pool.Config
 	Roster     roster.Config
-	Mark       mark.Config
+	Mark       leave.Config
 	Limit      limit.Config
 	Capacity   capacity.Config
 	Gate       gate.Config
@@ -38,7 +38,7 @@
 	k = kernel.New(kernel.Config{Self: self, Extensions: append([]kernel.Extension{
 		config.New(c.Config),
 		roster.New(c.Roster),
-		mark.New(c.Mark),
+		leave.New(c.Mark),
 		membership.New(c.Membership),
 		pool.New(c.Pool),
 		limit.New(c.Limit),
--- a/internal/mark/mark.go
+++ b/internal/leave/leave.go
@@ -1,7 +1,7 @@
-// Package mark is the kernel's plug-in that propagates leave notices: a leaving
+// Package leave is the kernel's plug-in that propagates leave notices: a leaving
 // instance gets no new work from any node within seconds, although only one of
 // them may have received its notice.
-package mark
+package leave
 
 import (
 	"cmp"
