--- a/bulrushhinge.go
+++ b/bulrushhinge.go
@@ -18,6 +18,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
 	"bulrushhinge.example/bulrushhinge/internal/caller"
 	"bulrushhinge.example/bulrushhinge/internal/capacity"
@@ -28,7 +29,6 @@
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/internal/operator"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/internal/platform"
@@ -120,7 +120,7 @@
 		endpoints  *endpoint.Client
 		metrics    *operator.Metrics
 		traces     *operator.Traces
-		tickets    *once.Registry
+		tickets    *atmostonce.Registry
 		limiter    *limit.Limiter
 		meter      *capacity.Meter
 		handler    *caller.Handler
@@ -159,7 +159,7 @@
 		Caller:      address(c.Callers),
 		Peer:        address(c.Peers),
 	}
-	n.tickets = once.New(once.Config{Node: self.Name, Incarnation: self.Incarnation})
+	n.tickets = atmostonce.New(atmostonce.Config{Node: self.Name, Incarnation: self.Incarnation})
 	active := func() int { return int(c.Limits.Active.Load()) }
 	k, permits := builtin.New(self, builtin.Config{
 		Config:     config.Config{Hold: config.DefaultHold},
--- a/internal/once/bench_test.go
+++ b/internal/atmostonce/bench_test.go
@@ -1,16 +1,16 @@
-package once_test
+package atmostonce_test
 
 import (
 	"context"
 	"net/http"
 	"testing"
 
-	"bulrushhinge.example/bulrushhinge/internal/once"
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
 
 func BenchmarkMint(b *testing.B) {
-	r, _ := newRegistry(once.Config{})
+	r, _ := newRegistry(atmostonce.Config{})
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := r.Mint(account)
@@ -19,7 +19,7 @@
 }
 
 func BenchmarkParseAndState(b *testing.B) {
-	r, _ := newRegistry(once.Config{})
+	r, _ := newRegistry(atmostonce.Config{})
 	t, _ := r.Mint(account)
 	text := t.String()
 	b.ReportAllocs()
@@ -30,12 +30,12 @@
 }
 
 func BenchmarkRedeemAndRun(b *testing.B) {
-	r, _ := newRegistry(once.Config{Blocks: 1 << 30})
+	r, _ := newRegistry(atmostonce.Config{Blocks: 1 << 30})
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := r.Mint(account)
-		record, _, _ := r.Redeem(t, account, once.Print{1})
-		record.Run(context.Background(), func(context.Context, http.ResponseWriter) (once.State, error) { return once.Done, nil })
+		record, _, _ := r.Redeem(t, account, atmostonce.Print{1})
+		record.Run(context.Background(), func(context.Context, http.ResponseWriter) (atmostonce.State, error) { return atmostonce.Done, nil })
 		_ = r.Wait(context.Background())
 	}
 }
--- a/internal/once/record.go
+++ b/internal/atmostonce/record.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
--- a/internal/once/registry.go
+++ b/internal/atmostonce/registry.go
@@ -1,4 +1,4 @@
-// Package once gives at-most-once execution to requests that must not be
+// Package atmostonce gives at-most-once execution to requests that must not be
 // repeated, by tickets and without shared state: a ticket can be redeemed only
 // in the process that minted it, and only once.
 //
@@ -7,7 +7,7 @@
 // disagree about membership, be paused or be partitioned, so no node may decide
 // for another. The key that verifies a ticket therefore exists only in the
 // memory of the process that minted it.
-package once
+package atmostonce
 
 import (
 	"context"
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -15,12 +15,12 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/caller"
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -96,7 +96,7 @@
 	limits.View = func() *kernel.View { return v }
 	limits.Log = log
 	limits.Dispatcher = dispatch.New(dispatch.Config{View: limits.View, Gate: openGate{}, Endpoints: e, Sink: discardSink{}})
-	limits.Tickets = once.New(once.Config{Node: v.Self.Name, Incarnation: 1})
+	limits.Tickets = atmostonce.New(atmostonce.Config{Node: v.Self.Name, Incarnation: 1})
 	return caller.New(limits)
 }
 
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/internal/poison"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
@@ -71,7 +71,7 @@
 
 // execute dispatches a request and forwards its answer. It returns the outcome of
 // the request, and an error if the answer written to w is truncated.
-func (h *Handler) execute(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
+func (h *Handler) execute(ctx context.Context, w http.ResponseWriter, k work) (atmostonce.State, error) {
 	ctx, cancel := context.WithDeadline(ctx, k.request.Deadline)
 	defer cancel()
 	out := &startedWriter{ResponseWriter: w}
@@ -81,11 +81,11 @@
 		k.stopWaiting()
 		answerErr := k.answer(out, run)
 		if answerErr == nil {
-			return once.Done, run.Close()
+			return atmostonce.Done, run.Close()
 		}
 		h.logIncomplete(answerErr, k.request, run)
 		if out.started || !errors.Is(answerErr, endpoint.ErrCut) {
-			return once.Unknown, h.abandon(ctx, out, k, run, answerErr)
+			return atmostonce.Unknown, h.abandon(ctx, out, k, run, answerErr)
 		}
 		// Nothing of the truncated answer was sent to the caller, so another
 		// endpoint can still provide a complete one.
@@ -94,7 +94,7 @@
 	}
 	if last != nil {
 		h.answerProblem(last, k.request.Deadline).write(w)
-		return once.Unknown, nil
+		return atmostonce.Unknown, nil
 	}
 	return h.writeRefusal(w, k, err), nil
 }
@@ -116,16 +116,16 @@
 
 // writeRefusal writes the refusal of a request, with a new ticket if the request
 // needs one and did not run.
-func (h *Handler) writeRefusal(w http.ResponseWriter, k work, err error) once.State {
+func (h *Handler) writeRefusal(w http.ResponseWriter, k work, err error) atmostonce.State {
 	p := dispatchProblem(err)
 	if k.request.AtMostOnce && p.ran == RanNot {
 		h.addTicket(w, k.account.Name)
 	}
 	p.write(w)
 	if p.ran == RanNot {
-		return once.Void
+		return atmostonce.Void
 	}
-	return once.Unknown
+	return atmostonce.Unknown
 }
 
 // runOnce redeems the request's ticket. The first copy of the request starts a
@@ -153,7 +153,7 @@
 	}
 	record, first, err := h.config.Tickets.Redeem(t, k.account.Name, requestDigest(r, k.call.Body))
 	if err != nil {
-		if errors.Is(err, once.ErrVoid) {
+		if errors.Is(err, atmostonce.ErrVoid) {
 			h.addTicket(w, k.account.Name)
 		}
 		ticketProblem(err).write(checked(w))
@@ -163,7 +163,7 @@
 }
 
 // serveRecord answers a copy of a request from its record. The first copy starts the run.
-func (h *Handler) serveRecord(w http.ResponseWriter, r *http.Request, k work, record *once.Record, first bool) {
+func (h *Handler) serveRecord(w http.ResponseWriter, r *http.Request, k work, record *atmostonce.Record, first bool) {
 	reader, err := record.Join()
 	if err != nil {
 		ticketProblem(err).write(checked(w))
@@ -172,7 +172,7 @@
 	if first {
 		ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), k.request.Deadline)
 		k.stopWaiting()
-		record.Run(ctx, func(ctx context.Context, w http.ResponseWriter) (once.State, error) {
+		record.Run(ctx, func(ctx context.Context, w http.ResponseWriter) (atmostonce.State, error) {
 			defer cancel()
 			return h.executeDetached(ctx, w, k)
 		})
@@ -201,23 +201,23 @@
 // executeDetached executes a request independently of its caller's connection. It
 // takes its own slots and memory: a caller that sends requests and disconnects
 // must not load the node beyond its limits.
-func (h *Handler) executeDetached(ctx context.Context, w http.ResponseWriter, k work) (once.State, error) {
+func (h *Handler) executeDetached(ctx context.Context, w http.ResponseWriter, k work) (atmostonce.State, error) {
 	leave, ok := h.slots.enter()
 	if !ok {
 		busy(http.StatusServiceUnavailable, "the node serves too many requests").write(w)
-		return once.Void, nil
+		return atmostonce.Void, nil
 	}
 	defer leave()
 	done, p := h.slots.startWaiting(k.account.Name)
 	if p != nil {
 		p.write(w)
-		return once.Void, nil
+		return atmostonce.Void, nil
 	}
 	defer done()
 	held, ok := h.slots.reserve(int64(len(k.call.Body)))
 	if !ok {
 		bodyMemoryFull().write(w)
-		return once.Void, nil
+		return atmostonce.Void, nil
 	}
 	defer held.release()
 	k.stopWaiting = done
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -12,10 +12,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
@@ -64,7 +64,7 @@
 		Log        logrus.FieldLogger
 		// Tickets mints and redeems the tickets of this node. Relays forwards
 		// requests with tickets of other nodes.
-		Tickets *once.Registry
+		Tickets *atmostonce.Registry
 		Relays  Relayer
 		// Timeout is the time limit of a request that sets none.
 		Timeout time.Duration
--- a/internal/caller/ticket.go
+++ b/internal/caller/ticket.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
@@ -35,8 +35,8 @@
 
 	// TicketState is the answer to a query of a ticket's state.
 	TicketState struct {
-		Ticket string     `json:"ticket"`
-		State  once.State `json:"state"`
+		Ticket string           `json:"ticket"`
+		State  atmostonce.State `json:"state"`
 	}
 
 	// relayedKey marks the context of a request that another node forwarded.
@@ -95,7 +95,7 @@
 func (h *Handler) voidTicket(w http.ResponseWriter, r *http.Request) {
 	h.withTicket(w, r, func(t ticket.Ticket, account string) {
 		err := h.config.Tickets.Void(t, account)
-		if errors.Is(err, once.ErrFull) {
+		if errors.Is(err, atmostonce.ErrFull) {
 			ticketProblem(err).write(w)
 			return
 		}
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
 	if p := h.relay(w, r.WithContext(ctx), v, t, nil); p != nil {
-		writeState(w, http.StatusOK, t, once.Unknown)
+		writeState(w, http.StatusOK, t, atmostonce.Unknown)
 	}
 }
 
@@ -137,7 +137,7 @@
 func (h *Handler) relay(w http.ResponseWriter, r *http.Request, v *kernel.View, t ticket.Ticket, body []byte) *problem {
 	to, ok := v.Node(t.Node)
 	if !ok || r.Context().Value(relayedKey{}) != nil {
-		return ticketProblem(once.ErrUnknown)
+		return ticketProblem(atmostonce.ErrUnknown)
 	}
 	out := h.newTicketWriter(w)
 	defer out.release()
@@ -158,7 +158,7 @@
 	case errors.Is(err, endpoint.ErrFull), r.Context().Err() != nil:
 		return h.incompleteProblem(err)
 	}
-	return ticketProblem(once.ErrUnknown)
+	return ticketProblem(atmostonce.ErrUnknown)
 }
 
 // mintTickets mints tickets for the caller's account, or none without a valid
@@ -200,13 +200,13 @@
 	switch {
 	case errors.Is(err, ticket.ErrFormat):
 		return &problem{status: http.StatusBadRequest, kind: "ticket_format", text: text, ran: RanUnknown}
-	case errors.Is(err, once.ErrVoid):
+	case errors.Is(err, atmostonce.ErrVoid):
 		return &problem{status: http.StatusConflict, kind: "ticket_void", text: text, ran: RanNot}
-	case errors.Is(err, once.ErrUsed), errors.Is(err, once.ErrGone):
+	case errors.Is(err, atmostonce.ErrUsed), errors.Is(err, atmostonce.ErrGone):
 		return &problem{status: http.StatusConflict, kind: "ticket_used", text: text, ran: RanYes}
-	case errors.Is(err, once.ErrOther):
+	case errors.Is(err, atmostonce.ErrOther):
 		return &problem{status: http.StatusConflict, kind: "ticket_other", text: text, ran: RanUnknown}
-	case errors.Is(err, once.ErrFull):
+	case errors.Is(err, atmostonce.ErrFull):
 		return &problem{status: http.StatusServiceUnavailable, kind: "tickets_full", text: text, ran: RanNot, retry: retryDelay()}
 	default:
 		return &problem{status: http.StatusConflict, kind: "ticket_unknown", text: text, ran: RanUnknown}
@@ -215,14 +215,14 @@
 
 // requestDigest returns a digest of a request, so that a ticket's answer is never sent
 // to another request of the same account.
-func requestDigest(r *http.Request, body []byte) once.Print {
+func requestDigest(r *http.Request, body []byte) atmostonce.Print {
 	digest := sha256.New()
 	for _, part := range []string{r.Method, r.URL.RequestURI()} {
 		digest.Write([]byte(part))
 		digest.Write([]byte{0})
 	}
 	digest.Write(body)
-	return once.Print(digest.Sum(nil))
+	return atmostonce.Print(digest.Sum(nil))
 }
 
 // relayedHeader returns the headers that are forwarded to the other node.
@@ -236,7 +236,7 @@
 	return header
 }
 
-func writeState(w http.ResponseWriter, status int, t ticket.Ticket, s once.State) {
+func writeState(w http.ResponseWriter, status int, t ticket.Ticket, s atmostonce.State) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(TicketState{Ticket: t.String(), State: s})
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/fixed"
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
 
@@ -281,7 +281,7 @@
 	if at == nil {
 		return
 	}
-	record, first, err := at.tickets.Redeem(s.ticket, account, once.Print{1})
+	record, first, err := at.tickets.Redeem(s.ticket, account, atmostonce.Print{1})
 	if err != nil || !first {
 		return
 	}
@@ -289,7 +289,7 @@
 		t.Fatalf("ticket %d of %s redeemed after it was void", s.ticket.Serial, s.minter.name)
 	}
 	s.dispatch++
-	record.Run(context.Background(), func(context.Context, http.ResponseWriter) (once.State, error) { return once.Done, nil })
+	record.Run(context.Background(), func(context.Context, http.ResponseWriter) (atmostonce.State, error) { return atmostonce.Done, nil })
 	if err := at.tickets.Wait(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/check/world_test.go
+++ b/internal/check/world_test.go
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
 	"bulrushhinge.example/bulrushhinge/internal/config"
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
@@ -40,7 +40,7 @@
 		incarnation uint64
 		kernel      *kernel.Kernel
 		gate        *gate.Gate
-		tickets     *once.Registry
+		tickets     *atmostonce.Registry
 		started     time.Time
 		paused      bool
 		read        time.Time
@@ -119,7 +119,7 @@
 	p := &process{name: fmt.Sprintf("n%d", i), incarnation: w.serial, started: w.now, leaving: map[string]bool{}}
 	self := kernel.Node{Name: p.name, Zone: zone, Incarnation: p.incarnation, Caller: addr(i), Peer: addr(i)}
 	p.kernel, p.gate = builtin.New(self, builtin.Config{Config: config.Config{Hold: config.DefaultHold}})
-	p.tickets = once.New(once.Config{
+	p.tickets = atmostonce.New(atmostonce.Config{
 		Node: p.name, Incarnation: p.incarnation, Life: ticketLife, Keep: ticketKeep,
 		Now: func() time.Duration { return w.now.Sub(p.started) },
 	})
--- a/internal/loopback/once_test.go
+++ b/internal/loopback/once_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/caller"
 	"bulrushhinge.example/bulrushhinge/internal/loopback"
-	"bulrushhinge.example/bulrushhinge/internal/once"
 	"bulrushhinge.example/bulrushhinge/pkg/entry"
 )
 
@@ -129,7 +129,7 @@
 	return x.header.Get(caller.HeaderTicket)
 }
 
-func stateOf(t *testing.T, f *loopback.Fleet, node, ticket string) once.State {
+func stateOf(t *testing.T, f *loopback.Fleet, node, ticket string) atmostonce.State {
 	t.Helper()
 	x := exchange{node: node, method: http.MethodGet, path: "/v1/tickets/" + ticket}.must(t, f)
 	var s caller.TicketState
@@ -143,15 +143,15 @@
 	body := notice(1)
 	ticket := ticketOf(t, f, "n1", body)
 	require.Zero(t, runs(f, c, body))
-	require.Equal(t, once.Unused, stateOf(t, f, "n1", ticket))
-	require.Equal(t, once.Unused, stateOf(t, f, "n2", ticket), "asked at another node")
+	require.Equal(t, atmostonce.Unused, stateOf(t, f, "n1", ticket))
+	require.Equal(t, atmostonce.Unused, stateOf(t, f, "n2", ticket), "asked at another node")
 
 	first := exchange{node: "n1", path: chatPath, body: body, ticket: ticket}.must(t, f)
 	require.Equal(t, http.StatusOK, first.status, first.text)
 	require.True(t, strings.HasSuffix(first.text, "data: [DONE]\n\n"), first.text)
 	again := exchange{node: "n3", path: chatPath, body: body, ticket: ticket}.must(t, f)
 	require.Equal(t, first.text, again.text, "another node relays to the kept answer")
-	require.Equal(t, once.Done, stateOf(t, f, "n4", ticket))
+	require.Equal(t, atmostonce.Done, stateOf(t, f, "n4", ticket))
 	require.Equal(t, 1, runs(f, c, body))
 
 	other := exchange{node: "n1", path: chatPath, body: notice(2), ticket: ticket}.must(t, f)
@@ -292,7 +292,7 @@
 	ticket := ticketOf(t, f, "n1", body)
 	x := exchange{node: "n5", method: http.MethodDelete, path: "/v1/tickets/" + ticket}.must(t, f)
 	require.Equal(t, http.StatusOK, x.status, x.text)
-	require.Contains(t, x.text, string(once.Void))
+	require.Contains(t, x.text, string(atmostonce.Void))
 	for _, n := range c.Nodes {
 		x := exchange{node: n.Name, path: chatPath, body: body, ticket: ticket}.must(t, f)
 		require.Equal(t, http.StatusConflict, x.status)
@@ -320,7 +320,7 @@
 			x := exchange{node: node, path: chatPath, body: b, ticket: given}.must(t, f)
 			require.Equal(t, http.StatusConflict, x.status, x.text)
 			require.Contains(t, x.text, `"ran":"unknown"`)
-			require.Equal(t, once.Unknown, stateOf(t, f, node, given))
+			require.Equal(t, atmostonce.Unknown, stateOf(t, f, node, given))
 		}
 	}
 	refuse("n2")
