--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 
 	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
-	"bulrushhinge.example/bulrushhinge/internal/fixed"
 	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/rapidseed"
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
 
@@ -29,7 +29,7 @@
 	void     bool
 }
 
-func TestMain(m *testing.M) { fixed.Run(m, "rapid.steps", "150", "rapid.checks", "45") }
+func TestMain(m *testing.M) { rapidseed.Run(m, "rapid.steps", "150", "rapid.checks", "45") }
 
 // TestInvariantsHold runs random schedules and checks after each step that
 //
--- a/internal/deployment/main_test.go
+++ b/internal/deployment/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"bulrushhinge.example/bulrushhinge/internal/fixed"
+	"bulrushhinge.example/bulrushhinge/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { fixed.Run(m) }
+func TestMain(m *testing.M) { rapidseed.Run(m) }
--- a/internal/fixed/fixed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,5 +1,5 @@
-// Package fixed makes property tests draw the same cases on every run.
-package fixed
+// Package rapidseed makes property tests draw the same cases on every run.
+package rapidseed
 
 import (
 	"flag"
