--- a/bulrushhinge.go
+++ b/bulrushhinge.go
@@ -25,12 +25,12 @@
 	"bulrushhinge.example/bulrushhinge/internal/config"
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
 	"bulrushhinge.example/bulrushhinge/internal/operator"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/platform"
 	"bulrushhinge.example/bulrushhinge/internal/poison"
 	"bulrushhinge.example/bulrushhinge/internal/pool"
@@ -116,7 +116,7 @@
 		peers      *peer.Client
 		server     *peer.Server
 		dispatcher *dispatch.Dispatcher
-		holder     *gate.Holder
+		holder     *permit.Holder
 		endpoints  *endpoint.Client
 		metrics    *operator.Metrics
 		traces     *operator.Traces
@@ -146,7 +146,7 @@
 		config:  c,
 		key:     key,
 		limiter: limit.NewLimiter(limit.LimiterConfig{}),
-		holder:  gate.NewHolder(),
+		holder:  permit.NewHolder(),
 		meter:   capacity.NewMeter(),
 	}
 	n.endpoints = endpoint.NewClient(endpoint.ClientConfig{Dialer: c.Dialer, OnNotice: func(addr netip.AddrPort, w endpoint.Notice) {
@@ -260,7 +260,7 @@
 	}
 }
 
-func (n *Node) serve(k *kernel.Kernel, permits *gate.Gate) error {
+func (n *Node) serve(k *kernel.Kernel, permits *permit.Gate) error {
 	leases := poison.NewLeases(0)
 	n.dispatcher = dispatch.New(dispatch.Config{
 		View: k.View, Gate: permits, Peers: n.peers, Endpoints: n.endpoints, Sink: trafficSink{control: n.control},
--- a/control.go
+++ b/control.go
@@ -10,11 +10,11 @@
 	"github.com/sirupsen/logrus"
 
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/operator"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/internal/periodic"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/platform"
 )
 
@@ -31,7 +31,7 @@
 		Kernel    *kernel.Kernel
 		Peers     *peer.Client
 		Endpoints *endpoint.Client
-		Gate      *gate.Gate
+		Gate      *permit.Gate
 		// Cache stores and verifies revisions fetched from peers.
 		Cache *platform.Cache
 		// Reread makes the platform's reader read every value again.
--- a/internal/builtin/builtin.go
+++ b/internal/builtin/builtin.go
@@ -5,11 +5,11 @@
 import (
 	"bulrushhinge.example/bulrushhinge/internal/capacity"
 	"bulrushhinge.example/bulrushhinge/internal/config"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/leave"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/poison"
 	"bulrushhinge.example/bulrushhinge/internal/pool"
 	"bulrushhinge.example/bulrushhinge/internal/roster"
@@ -24,16 +24,16 @@
 	Mark       leave.Config
 	Limit      limit.Config
 	Capacity   capacity.Config
-	Gate       gate.Config
+	Gate       permit.Config
 	Poison     poison.Config
 }
 
 // New returns a kernel with the built-in plug-ins and further ones, and the gate
 // that grants permits. The pool plug-in sends the gate's loads to other nodes.
-func New(self kernel.Node, c Config, more ...kernel.Extension) (*kernel.Kernel, *gate.Gate) {
+func New(self kernel.Node, c Config, more ...kernel.Extension) (*kernel.Kernel, *permit.Gate) {
 	var k *kernel.Kernel
 	c.Gate.View = func() *kernel.View { return k.View() }
-	permits := gate.New(c.Gate)
+	permits := permit.New(c.Gate)
 	c.Pool.Admitted = permits.Loads
 	k = kernel.New(kernel.Config{Self: self, Extensions: append([]kernel.Extension{
 		config.New(c.Config),
--- a/internal/caller/fake_test.go
+++ b/internal/caller/fake_test.go
@@ -19,8 +19,8 @@
 	"bulrushhinge.example/bulrushhinge/internal/caller"
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -52,12 +52,12 @@
 }
 
 // Apply grants every permit request.
-func (openGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	verdicts := make([]gate.Verdict, len(b.Requests))
+func (openGate) Apply(_ time.Time, b permit.Batch) permit.Reply {
+	verdicts := make([]permit.Verdict, len(b.Requests))
 	for i := range verdicts {
-		verdicts[i] = gate.Granted
+		verdicts[i] = permit.Granted
 	}
-	return gate.Reply{Verdicts: verdicts}
+	return permit.Reply{Verdicts: verdicts}
 }
 
 func (discardSink) Offer(kernel.Event) {}
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/rapidseed"
 	"bulrushhinge.example/bulrushhinge/pkg/ticket"
 )
@@ -150,7 +150,7 @@
 			}
 		}
 	}
-	rule := gate.NewBoundRule()
+	rule := permit.NewBoundRule()
 	above := pool.Bound - 1
 	mean := float64(pool.Total.Requests+granted+1) / float64(max(pool.Live, 1))
 	limit := max(pool.Bound/above, (1+rule.Margin*above)*mean)
--- a/internal/check/world_test.go
+++ b/internal/check/world_test.go
@@ -10,9 +10,9 @@
 	"bulrushhinge.example/bulrushhinge/internal/atmostonce"
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
 	"bulrushhinge.example/bulrushhinge/internal/config"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -39,7 +39,7 @@
 		name        string
 		incarnation uint64
 		kernel      *kernel.Kernel
-		gate        *gate.Gate
+		gate        *permit.Gate
 		tickets     *atmostonce.Registry
 		started     time.Time
 		paused      bool
@@ -287,9 +287,9 @@
 		return
 	}
 	w.serial++
-	ask := gate.Request{ID: w.serial, Endpoint: e.name, Tokens: 10, Node: p.name, Lease: lease}
-	reply := owner.gate.Apply(w.now, gate.Batch{Requests: []gate.Request{ask}})
-	if reply.Verdicts[0] != gate.Granted {
+	ask := permit.Request{ID: w.serial, Endpoint: e.name, Tokens: 10, Node: p.name, Lease: lease}
+	reply := owner.gate.Apply(w.now, permit.Batch{Requests: []permit.Request{ask}})
+	if reply.Verdicts[0] != permit.Granted {
 		return
 	}
 	w.checkGrant(t, owner, e)
@@ -306,7 +306,7 @@
 		w.step(requester, kernel.EndpointNotice{Endpoint: e.name, Leaving: true})
 	}
 	if w.alive(g.owner) {
-		g.owner.gate.Apply(w.now, gate.Batch{Releases: []gate.Release{{ID: id}}})
+		g.owner.gate.Apply(w.now, permit.Batch{Releases: []permit.Release{{ID: id}}})
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
@@ -36,12 +36,12 @@
 
 	// Peers requests permits from other nodes.
 	Peers interface {
-		Permit(ctx context.Context, to netip.AddrPort, b gate.Batch) (gate.Reply, error)
+		Permit(ctx context.Context, to netip.AddrPort, b permit.Batch) (permit.Reply, error)
 	}
 
 	// Gate grants permits for the endpoints that this node owns.
 	Gate interface {
-		Apply(now time.Time, b gate.Batch) gate.Reply
+		Apply(now time.Time, b permit.Batch) permit.Reply
 		OwnedLoad(now time.Time, endpoint string) kernel.Load
 		SetOwnerTotal(now time.Time, node, endpoint string, l kernel.Load)
 	}
@@ -70,7 +70,7 @@
 		// transfers.
 		Caches Caches
 		// Holder tracks the permits that the node holds. Default: a new one.
-		Holder *gate.Holder
+		Holder *permit.Holder
 		// Recorder records the steps of plans; nil disables recording.
 		Recorder  Recorder
 		Gate      Gate
@@ -90,7 +90,7 @@
 	// Dispatcher runs requests. It is safe for concurrent use.
 	Dispatcher struct {
 		config  Config
-		holder  *gate.Holder
+		holder  *permit.Holder
 		serial  atomic.Uint64
 		base    uint64
 		cancel  context.CancelFunc
@@ -131,7 +131,7 @@
 // New returns a Dispatcher.
 func New(c Config) *Dispatcher {
 	if c.Holder == nil {
-		c.Holder = gate.NewHolder()
+		c.Holder = permit.NewHolder()
 	}
 	if c.Router == nil {
 		c.Router = route.NewRouter(route.Config{})
@@ -214,12 +214,12 @@
 func (j *job) requestPermit(ctx context.Context, step route.Step) route.Outcome {
 	e := step.Endpoint
 	j.permitID = j.d.base + j.d.serial.Add(1)
-	req := gate.Request{
+	req := permit.Request{
 		ID:       j.permitID,
 		Endpoint: e.Name,
 		Tokens:   step.Tokens,
 		Retry:    step.Retry,
-		Lease:    time.Until(j.req.Deadline) + gate.LeaseSlack,
+		Lease:    time.Until(j.req.Deadline) + permit.LeaseSlack,
 		Suspect:  len(j.suspect().Endpoints),
 	}
 	return j.d.requestPermit(ctx, e, req)
--- a/internal/dispatch/paused_test.go
+++ b/internal/dispatch/paused_test.go
@@ -12,8 +12,8 @@
 
 	"bulrushhinge.example/bulrushhinge/internal/dispatch"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
@@ -36,17 +36,17 @@
 	endpoints struct{ calls int }
 )
 
-func (g *pausedGate) Apply(_ time.Time, b gate.Batch) gate.Reply {
+func (g *pausedGate) Apply(_ time.Time, b permit.Batch) permit.Reply {
 	for _, r := range b.Releases {
 		g.released = append(g.released, r.ID)
 	}
-	var reply gate.Reply
+	var reply permit.Reply
 	for range b.Requests {
 		g.requests++
-		verdict := gate.Gone
+		verdict := permit.Gone
 		if g.requests == 1 {
 			time.Sleep(g.pause)
-			verdict = gate.Granted
+			verdict = permit.Granted
 		}
 		reply.Verdicts = append(reply.Verdicts, verdict)
 	}
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
@@ -13,26 +13,26 @@
 const flushInterval = 5 * time.Millisecond
 
 // outcomes maps the verdict of an owner to the outcome of a step.
-var outcomes = map[gate.Verdict]route.Outcome{
-	gate.Granted:  route.OutcomeGranted,
-	gate.Full:     route.OutcomeDenied,
-	gate.Gone:     route.OutcomeUnavailable,
-	gate.NotOwner: route.OutcomeUnreachable,
-	gate.TooLate:  route.OutcomeDeadline,
+var outcomes = map[permit.Verdict]route.Outcome{
+	permit.Granted:  route.OutcomeGranted,
+	permit.Full:     route.OutcomeDenied,
+	permit.Gone:     route.OutcomeUnavailable,
+	permit.NotOwner: route.OutcomeUnreachable,
+	permit.TooLate:  route.OutcomeDeadline,
 }
 
 // requestPermit requests a permit from the owner of an endpoint and adds it to
 // the holder.
-func (d *Dispatcher) requestPermit(ctx context.Context, e kernel.Endpoint, req gate.Request) route.Outcome {
+func (d *Dispatcher) requestPermit(ctx context.Context, e kernel.Endpoint, req permit.Request) route.Outcome {
 	v := d.config.View()
 	req.Node = v.Self.Name
 	start := time.Now()
-	reply, err := d.send(ctx, v, e.Owner, gate.Batch{
-		Requests: []gate.Request{req}, Releases: d.holder.TakeReleases(e.Owner), OwnedLoad: d.config.Gate.OwnedLoad(time.Now(), e.Name),
+	reply, err := d.send(ctx, v, e.Owner, permit.Batch{
+		Requests: []permit.Request{req}, Releases: d.holder.TakeReleases(e.Owner), OwnedLoad: d.config.Gate.OwnedLoad(time.Now(), e.Name),
 	})
 	if err != nil {
 		// The owner may have granted the permit, which is not going to be used.
-		d.holder.QueueReleases(time.Now(), e.Owner, gate.Release{ID: req.ID})
+		d.holder.QueueReleases(time.Now(), e.Owner, permit.Release{ID: req.ID})
 		return route.OutcomeUnreachable
 	}
 	d.config.Gate.SetOwnerTotal(time.Now(), e.Owner, e.Name, reply.OwnedLoad)
@@ -65,19 +65,19 @@
 // applyLocal applies the queued releases at once if this node is the owner.
 func (d *Dispatcher) applyLocal(owner string) {
 	if v := d.config.View(); owner == v.Self.Name {
-		d.config.Gate.Apply(time.Now(), gate.Batch{Releases: d.holder.TakeReleases(owner)})
+		d.config.Gate.Apply(time.Now(), permit.Batch{Releases: d.holder.TakeReleases(owner)})
 	}
 }
 
 // send delivers a batch to an owner, which may be this node. Releases that could
 // not be delivered are queued for the next message.
-func (d *Dispatcher) send(ctx context.Context, v *kernel.View, owner string, b gate.Batch) (gate.Reply, error) {
+func (d *Dispatcher) send(ctx context.Context, v *kernel.View, owner string, b permit.Batch) (permit.Reply, error) {
 	if owner == v.Self.Name {
 		return d.config.Gate.Apply(time.Now(), b), nil
 	}
 	n, ok := v.Node(owner)
 	if !ok {
-		return gate.Reply{}, errNoOwner
+		return permit.Reply{}, errNoOwner
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -10,12 +10,12 @@
 
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
 	"bulrushhinge.example/bulrushhinge/internal/capacity"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/limit"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -39,7 +39,7 @@
 	// fakeNode is a real kernel on a simulated network.
 	fakeNode struct {
 		*kernel.Kernel
-		gate     *gate.Gate
+		gate     *permit.Gate
 		limiter  *limit.Limiter
 		meter    *capacity.Meter
 		down     bool
@@ -77,7 +77,7 @@
 
 	release struct {
 		at   time.Time
-		gate *gate.Gate
+		gate *permit.Gate
 		id   uint64
 	}
 )
@@ -239,7 +239,7 @@
 // work admits and completes requests at the fleet's rate.
 func (f *fakeFleet) work() {
 	for len(f.releases) > 0 && !f.now.Before(f.releases[0].at) {
-		f.releases[0].gate.Release(f.now, gate.Release{ID: f.releases[0].id})
+		f.releases[0].gate.Release(f.now, permit.Release{ID: f.releases[0].id})
 		f.releases = f.releases[1:]
 	}
 	f.pending += f.size.rate * kernel.DefaultTick.Seconds()
@@ -271,7 +271,7 @@
 	}
 	g := f.nodes[seen.Owner].gate
 	f.permits++
-	g.Admit(f.now, gate.Request{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
+	g.Admit(f.now, permit.Request{ID: f.permits, Endpoint: e.Name, Tokens: requestTokens/2 + f.rand.IntN(requestTokens), Lease: time.Hour})
 	f.releases = append(f.releases, release{at: until, gate: g, id: f.permits})
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,9 +12,9 @@
 	"storj.io/drpc/drpcconn"
 	"storj.io/drpc/drpcpool"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 const (
@@ -87,14 +87,14 @@
 }
 
 // Permit sends a batch to the owner of its endpoints.
-func (c *Client) Permit(ctx context.Context, to netip.AddrPort, b gate.Batch) (gate.Reply, error) {
+func (c *Client) Permit(ctx context.Context, to netip.AddrPort, b permit.Batch) (permit.Reply, error) {
 	answer, err := c.permit.call(ctx, to, EncodePermit(c.config.Self, b))
 	if err != nil {
-		return gate.Reply{}, unreachable(to, err)
+		return permit.Reply{}, unreachable(to, err)
 	}
 	reply := DecodeReply(answer)
 	if len(reply.Verdicts) != len(b.Requests) {
-		return gate.Reply{}, fmt.Errorf("%w: %v sent %d verdicts for %d requests", ErrUnreachable, to, len(reply.Verdicts), len(b.Requests))
+		return permit.Reply{}, fmt.Errorf("%w: %v sent %d verdicts for %d requests", ErrUnreachable, to, len(reply.Verdicts), len(b.Requests))
 	}
 	return reply, nil
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 // EncodeBeat converts a heartbeat to its wire message.
@@ -55,21 +55,21 @@
 }
 
 // EncodePermit converts a batch of a node to its wire message.
-func EncodePermit(node string, b gate.Batch) *peerpb.PermitRequest {
+func EncodePermit(node string, b permit.Batch) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
 		Node:     node,
 		Asks:     mapSlice(b.Requests, encodeAsk),
 		Declares: mapSlice(b.Declared, encodeAsk),
-		Returns:  mapSlice(b.Releases, func(r gate.Release) uint64 { return r.ID }),
+		Returns:  mapSlice(b.Releases, func(r permit.Release) uint64 { return r.ID }),
 		TookMs:   mapSlice(b.Releases, tookMS),
 		Own:      encodeOwn(b.OwnedLoad),
 	}
 }
 
 // DecodePermit converts a wire message to a batch.
-func DecodePermit(r *peerpb.PermitRequest) gate.Batch {
-	decode := func(a *peerpb.Ask) gate.Request { return decodeAsk(r.Node, a) }
-	return gate.Batch{
+func DecodePermit(r *peerpb.PermitRequest) permit.Batch {
+	decode := func(a *peerpb.Ask) permit.Request { return decodeAsk(r.Node, a) }
+	return permit.Batch{
 		Requests:  mapSlice(r.Asks, decode),
 		Declared:  mapSlice(r.Declares, decode),
 		Releases:  decodeReturns(r),
@@ -79,12 +79,12 @@
 
 // tookMS returns the run time in milliseconds, rounded up because 0 means that the
 // request did not run.
-func tookMS(r gate.Release) uint32 {
+func tookMS(r permit.Release) uint32 {
 	return uint32((max(r.Took, 0) + time.Millisecond - 1) / time.Millisecond)
 }
 
-func decodeReturns(r *peerpb.PermitRequest) []gate.Release {
-	returns := make([]gate.Release, len(r.Returns))
+func decodeReturns(r *peerpb.PermitRequest) []permit.Release {
+	returns := make([]permit.Release, len(r.Returns))
 	for i, id := range r.Returns {
 		returns[i].ID = id
 		if i < len(r.TookMs) {
@@ -95,18 +95,18 @@
 }
 
 // EncodeReply converts the reply to a batch to its wire message.
-func EncodeReply(r gate.Reply) *peerpb.PermitReply {
+func EncodeReply(r permit.Reply) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
-		Verdicts: mapSlice(r.Verdicts, func(v gate.Verdict) uint32 { return uint32(v) }),
+		Verdicts: mapSlice(r.Verdicts, func(v permit.Verdict) uint32 { return uint32(v) }),
 		Loads:    mapSlice(r.Loads, encodeLoad),
 		Own:      encodeOwn(r.OwnedLoad),
 	}
 }
 
 // DecodeReply converts a wire message to the reply to a batch.
-func DecodeReply(r *peerpb.PermitReply) gate.Reply {
-	return gate.Reply{
-		Verdicts:  mapSlice(r.Verdicts, func(v uint32) gate.Verdict { return gate.Verdict(v) }),
+func DecodeReply(r *peerpb.PermitReply) permit.Reply {
+	return permit.Reply{
+		Verdicts:  mapSlice(r.Verdicts, func(v uint32) permit.Verdict { return permit.Verdict(v) }),
 		Loads:     mapSlice(r.Loads, decodeLoad),
 		OwnedLoad: decodeOwn(r.Own),
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-func encodeAsk(a gate.Request) *peerpb.Ask {
+func encodeAsk(a permit.Request) *peerpb.Ask {
 	return &peerpb.Ask{
 		Id:       a.ID,
 		Endpoint: a.Endpoint,
@@ -155,8 +155,8 @@
 	}
 }
 
-func decodeAsk(node string, a *peerpb.Ask) gate.Request {
-	return gate.Request{
+func decodeAsk(node string, a *peerpb.Ask) permit.Request {
+	return permit.Request{
 		ID:       a.Id,
 		Endpoint: a.Endpoint,
 		Node:     node,
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -28,7 +28,7 @@
 	return append(list, nil, []byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 }
 
-func newKernel() (*kernel.Kernel, *gate.Gate, time.Time) {
+func newKernel() (*kernel.Kernel, *permit.Gate, time.Time) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	k, permits := builtin.New(kernel.Node{Name: "n1", Zone: "a"}, builtin.Config{})
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
@@ -72,7 +72,7 @@
 // FuzzPermit decodes permit requests and releases and applies them to a gate.
 func FuzzPermit(f *testing.F) {
 	for _, data := range encoded(f,
-		peer.EncodePermit("n2", gate.Batch{Requests: []gate.Request{{ID: 1, Endpoint: "w1", Tokens: 100, Lease: time.Minute, Suspect: 2}}, Releases: []gate.Release{{ID: 4, Took: time.Second}}}),
+		peer.EncodePermit("n2", permit.Batch{Requests: []permit.Request{{ID: 1, Endpoint: "w1", Tokens: 100, Lease: time.Minute, Suspect: 2}}, Releases: []permit.Release{{ID: 4, Took: time.Second}}}),
 	) {
 		f.Add(data)
 	}
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -10,20 +10,20 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 // echo replies to a batch with the tokens of its first request as the load, after a
 // wait.
 type echo struct{ wait func(tokens int) }
 
-func (e echo) Apply(_ time.Time, b gate.Batch) gate.Reply {
+func (e echo) Apply(_ time.Time, b permit.Batch) permit.Reply {
 	tokens := b.Requests[0].Tokens
 	e.wait(tokens)
-	return gate.Reply{
-		Verdicts: []gate.Verdict{gate.Full},
+	return permit.Reply{
+		Verdicts: []permit.Verdict{permit.Full},
 		Loads:    []kernel.EndpointLoad{{Endpoint: "w1", Load: kernel.Load{Tokens: tokens}}},
 	}
 }
@@ -44,8 +44,8 @@
 	return c
 }
 
-func ask(tokens int) gate.Batch {
-	return gate.Batch{Requests: []gate.Request{{ID: uint64(tokens), Endpoint: "w1", Tokens: tokens, Lease: time.Second}}}
+func ask(tokens int) permit.Batch {
+	return permit.Batch{Requests: []permit.Request{{ID: uint64(tokens), Endpoint: "w1", Tokens: tokens, Lease: time.Second}}}
 }
 
 // Guards against a request that gets the permit of another one.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,9 +13,9 @@
 	"storj.io/drpc/drpcmux"
 	"storj.io/drpc/drpcserver"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer/peerpb"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 // maxReplyBytes is the size of all values in a reply above which no further one is
@@ -34,7 +34,7 @@
 
 	// Permits grants permits.
 	Permits interface {
-		Apply(now time.Time, b gate.Batch) gate.Reply
+		Apply(now time.Time, b permit.Batch) permit.Reply
 	}
 
 	// Values holds the accepted configuration.
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 type (
@@ -52,8 +52,8 @@
 	return n, err
 }
 
-func (permits) Apply(_ time.Time, b gate.Batch) gate.Reply {
-	return gate.Reply{Verdicts: make([]gate.Verdict, len(b.Requests))}
+func (permits) Apply(_ time.Time, b permit.Batch) permit.Reply {
+	return permit.Reply{Verdicts: make([]permit.Verdict, len(b.Requests))}
 }
 
 // newCountedPair returns a client, the address of its server, and the counters of
@@ -102,9 +102,9 @@
 // a real stream, except for the message numbers, which are short in a new stream.
 func TestSizesOfPermits(t *testing.T) {
 	client, to, asked, answered := newCountedPair(t)
-	batch := gate.Batch{
-		Requests: []gate.Request{{ID: 7, Endpoint: "w12", Tokens: 900, Lease: time.Second}},
-		Releases: []gate.Release{{ID: 5, Took: time.Second}},
+	batch := permit.Batch{
+		Requests: []permit.Request{{ID: 7, Endpoint: "w12", Tokens: 900, Lease: time.Second}},
+		Releases: []permit.Release{{ID: 5, Took: time.Second}},
 	}
 	const calls, numbers = 140, 10
 	reply, err := client.Permit(t.Context(), to, batch)
--- a/internal/gate/bench_test.go
+++ b/internal/permit/bench_test.go
@@ -1,12 +1,12 @@
-package gate_test
+package permit_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -35,13 +35,13 @@
 	for _, endpoints := range []int{12, 240, 1200} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			v := fleet(endpoints)
-			g := gate.New(gate.Config{View: func() *kernel.View { return v }})
+			g := permit.New(permit.Config{View: func() *kernel.View { return v }})
 			now := v.At.Add(time.Second)
 			for i := range b.N {
 				id := uint64(i) + 1
-				g.Admit(now, gate.Request{ID: id, Endpoint: "w0001", Node: "n000", Tokens: 400, Lease: time.Minute})
+				g.Admit(now, permit.Request{ID: id, Endpoint: "w0001", Node: "n000", Tokens: 400, Lease: time.Minute})
 				if i >= 100 {
-					g.Release(now, gate.Release{ID: id - 100})
+					g.Release(now, permit.Release{ID: id - 100})
 				}
 			}
 		})
--- a/internal/gate/gate.go
+++ b/internal/permit/gate.go
@@ -1,8 +1,8 @@
-// Package gate admits work to endpoints. Each endpoint has one owner node, whose
+// Package permit admits work to endpoints. Each endpoint has one owner node, whose
 // gate grants a permit for every request before it is dispatched, so that no
 // endpoint exceeds its bound although each node sees only a small part of the
 // traffic.
-package gate
+package permit
 
 import (
 	"maps"
--- a/internal/gate/holder_test.go
+++ b/internal/permit/holder_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package permit_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -29,11 +29,11 @@
 	}
 }
 
-func ask(id uint64) gate.Request {
-	return gate.Request{ID: id, Endpoint: "w1", Node: "n1", Tokens: 10, Lease: time.Minute}
+func ask(id uint64) permit.Request {
+	return permit.Request{ID: id, Endpoint: "w1", Node: "n1", Tokens: 10, Lease: time.Minute}
 }
 
-func loadOf(g *gate.Gate, endpoint string) kernel.Load {
+func loadOf(g *permit.Gate, endpoint string) kernel.Load {
 	for _, l := range g.Loads() {
 		if l.Endpoint == endpoint {
 			return l.Load
@@ -45,7 +45,7 @@
 // Guards against engines at twice the bound after a node joined or died, because a
 // new owner does not know the permits that the previous one granted.
 func TestPermitsAreDeclaredToNewOwner(t *testing.T) {
-	h := gate.NewHolder()
+	h := permit.NewHolder()
 	before := twoNodes("n1", "n1", 0)
 	h.Add(start, before, "n1", ask(1))
 	require.Empty(t, h.Due(start, before))
@@ -57,13 +57,13 @@
 	require.Equal(t, uint64(1), sends[0].Batch.Declared[0].ID)
 
 	v := twoNodes("n2", "n2", 0)
-	owner := gate.New(gate.Config{View: func() *kernel.View { return v }})
+	owner := permit.New(permit.Config{View: func() *kernel.View { return v }})
 	owner.Apply(start, sends[0].Batch)
 	owner.Apply(start, sends[0].Batch)
 	require.Equal(t, 1, loadOf(owner, "w1").Requests)
 
 	require.Equal(t, "n2", h.Release(start, 1))
-	owner.Apply(start, gate.Batch{Releases: h.TakeReleases("n2")})
+	owner.Apply(start, permit.Batch{Releases: h.TakeReleases("n2")})
 	require.Zero(t, loadOf(owner, "w1").Requests)
 }
 
@@ -71,7 +71,7 @@
 // changes, because the new owner considers it idle.
 func TestNewOwnerKeepsLastReportedLoad(t *testing.T) {
 	v := twoNodes("n1", "n2", 7)
-	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
+	g := permit.New(permit.Config{View: func() *kernel.View { return v }})
 	require.Empty(t, g.Loads())
 	v = twoNodes("n1", "n1", 7)
 	require.Equal(t, 7, loadOf(g, "w1").Requests)
@@ -84,8 +84,8 @@
 // because its permits keep the mean load too high.
 func TestUnreachableNodeIsNotInReportedLoad(t *testing.T) {
 	v := twoNodes("n2", "n2", 0)
-	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
-	require.Equal(t, gate.Granted, g.Admit(start, ask(1)))
+	g := permit.New(permit.Config{View: func() *kernel.View { return v }})
+	require.Equal(t, permit.Granted, g.Admit(start, ask(1)))
 	g.Expire(start)
 	require.Equal(t, 1, loadOf(g, "w1").Requests)
 	v = twoNodes("n2", "n2", 0)
@@ -98,9 +98,9 @@
 // because requests turn out larger than their permits say.
 func TestEndpointReportCorrectsLoad(t *testing.T) {
 	v := twoNodes("n1", "n1", 0)
-	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
+	g := permit.New(permit.Config{View: func() *kernel.View { return v }})
 	for i := range 3 {
-		require.Equal(t, gate.Granted, g.Admit(start, ask(uint64(i)+1)))
+		require.Equal(t, permit.Granted, g.Admit(start, ask(uint64(i)+1)))
 	}
 	require.Equal(t, 30, loadOf(g, "w1").Tokens)
 	later := start.Add(1100 * time.Millisecond)
@@ -131,7 +131,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, c.want, gate.NewBoundRule().Fits(c.pool, c.load, c.tokens, c.largest))
+			require.Equal(t, c.want, permit.NewBoundRule().Fits(c.pool, c.load, c.tokens, c.largest))
 		})
 	}
 }
@@ -143,12 +143,12 @@
 	v.Pools["s"].Endpoints[1].Load = kernel.Load{Requests: 6, Tokens: 60}
 	v.Pools["s"].Total = kernel.Load{Requests: 13, Tokens: 60}
 	v.Pools["s"].Bound = 1.25
-	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
+	g := permit.New(permit.Config{View: func() *kernel.View { return v }})
 	for i := range 7 {
 		g.Declare(start, ask(uint64(i)+1))
 	}
 	next := ask(100)
-	require.Equal(t, gate.Full, g.Admit(start, next))
+	require.Equal(t, permit.Full, g.Admit(start, next))
 	next.Retry = true
-	require.Equal(t, gate.Granted, g.Admit(start, next))
+	require.Equal(t, permit.Granted, g.Admit(start, next))
 }
--- a/internal/gate/overload_test.go
+++ b/internal/permit/overload_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package permit_test
 
 import (
 	"math/rand/v2"
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/pkg/manifest"
 )
 
@@ -33,7 +33,7 @@
 
 	// overload simulates one engine under overload behind a real gate.
 	overload struct {
-		gate      *gate.Gate
+		gate      *permit.Gate
 		view      *kernel.View
 		now       time.Time
 		random    *rand.Rand
@@ -52,7 +52,7 @@
 	v.Nodes = []kernel.Node{v.Self}
 	v.Pools["s"] = &kernel.Pool{Service: manifest.Service{Name: "s"}, Bound: 100, Endpoints: []kernel.Endpoint{e}, Live: 1}
 	return &overload{
-		gate:   gate.New(gate.Config{View: func() *kernel.View { return v }}),
+		gate:   permit.New(permit.Config{View: func() *kernel.View { return v }}),
 		view:   v,
 		now:    time.Unix(0, 0),
 		random: rand.New(rand.NewPCG(1, 2)),
@@ -84,12 +84,12 @@
 			left = append(left, w)
 			continue
 		}
-		a := gate.Request{ID: w.id, Endpoint: "w1", Tokens: requestTokens, Lease: w.deadline.Sub(p.now) + gate.LeaseSlack}
+		a := permit.Request{ID: w.id, Endpoint: "w1", Tokens: requestTokens, Lease: w.deadline.Sub(p.now) + permit.LeaseSlack}
 		switch p.gate.Admit(p.now, a) {
-		case gate.Granted:
+		case permit.Granted:
 			w.startedAt = p.now
 			p.engine = append(p.engine, w)
-		case gate.TooLate:
+		case permit.TooLate:
 			p.refuse()
 		default:
 			w.nextTry = p.now.Add(retryPause)
@@ -117,7 +117,7 @@
 		if !done && !late {
 			return false
 		}
-		p.gate.Release(p.now, gate.Release{ID: w.id, Took: p.now.Sub(w.startedAt)})
+		p.gate.Release(p.now, permit.Release{ID: w.id, Took: p.now.Sub(w.startedAt)})
 		if done {
 			p.completed++
 		} else {
@@ -152,9 +152,9 @@
 func TestPermitReleasedBeforeRequestIsNotGranted(t *testing.T) {
 	p := newOverload()
 	p.run(0, time.Millisecond)
-	a := gate.Request{ID: 9, Endpoint: "w1", Tokens: 1, Lease: time.Minute}
-	p.gate.Release(p.now, gate.Release{ID: a.ID})
-	require.Equal(t, gate.Full, p.gate.Admit(p.now, a))
+	a := permit.Request{ID: 9, Endpoint: "w1", Tokens: 1, Lease: time.Minute}
+	p.gate.Release(p.now, permit.Release{ID: a.ID})
+	require.Equal(t, permit.Full, p.gate.Admit(p.now, a))
 	a.ID = 10
-	require.Equal(t, gate.Granted, p.gate.Admit(p.now, a))
+	require.Equal(t, permit.Granted, p.gate.Admit(p.now, a))
 }
--- a/internal/gate/silence.go
+++ b/internal/permit/silence.go
@@ -1,4 +1,4 @@
-package gate
+package permit
 
 import (
 	"time"
--- a/internal/gate/suspect.go
+++ b/internal/permit/suspect.go
@@ -1,4 +1,4 @@
-package gate
+package permit
 
 const (
 	// maxSuspects is how many requests that were running on one endpoint that died
--- a/internal/gate/unreachable_test.go
+++ b/internal/permit/unreachable_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package permit_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 // Guards against an endpoint over its bound because its owner does not count what
@@ -34,14 +34,14 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			v := twoNodes("n2", "n2", 0)
-			g := gate.New(gate.Config{View: func() *kernel.View { return v }})
+			g := permit.New(permit.Config{View: func() *kernel.View { return v }})
 			now, id := start, uint64(0)
 			grants := func(node string) (granted int) {
 				for range 2 * bound {
 					id++
 					a := ask(id)
 					a.Node = node
-					if g.Admit(now, a) == gate.Granted {
+					if g.Admit(now, a) == permit.Granted {
 						granted++
 					}
 				}
@@ -64,9 +64,9 @@
 // reachable again.
 func TestReachableAgainNodeKeepsPermits(t *testing.T) {
 	v := twoNodes("n2", "n2", 0)
-	g := gate.New(gate.Config{View: func() *kernel.View { return v }})
-	require.Equal(t, gate.Granted, g.Admit(start, ask(1)))
-	require.Equal(t, gate.Granted, g.Admit(start, ask(2)))
+	g := permit.New(permit.Config{View: func() *kernel.View { return v }})
+	require.Equal(t, permit.Granted, g.Admit(start, ask(1)))
+	require.Equal(t, permit.Granted, g.Admit(start, ask(2)))
 	for _, state := range []kernel.State{kernel.Suspect, kernel.Live, kernel.Suspect, kernel.Live} {
 		v.Nodes[0].State = state
 		g.Expire(start)
@@ -74,7 +74,7 @@
 	require.Equal(t, 2, loadOf(g, "w1").Requests)
 	v.Nodes[0].State = kernel.Suspect
 	g.Expire(start)
-	g.Release(start, gate.Release{ID: 1})
+	g.Release(start, permit.Release{ID: 1})
 	v.Nodes[0].State = kernel.Live
 	g.Expire(start)
 	require.Equal(t, 1, loadOf(g, "w1").Requests)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
@@ -36,7 +36,7 @@
 		Route: func(*rand.Rand) route.Config {
 			return route.Config{Ranker: route.NewHashRanker(), Memory: 1, Whole: true}
 		},
-		Gate: gate.Config{Rule: gate.NewCeilRule()},
+		Gate: permit.Config{Rule: permit.NewCeilRule()},
 	},
 	{
 		Name:        "round",
@@ -74,7 +74,7 @@
 	// Route returns the settings of one node's Router.
 	Route func(random *rand.Rand) route.Config
 	// Gate configures each node's Gate.
-	Gate gate.Config
+	Gate permit.Config
 	// Import enables the import of prefixes if the trace's engines support it.
 	Import bool
 	// Poll makes every node read the loads of all endpoints, not only of those that
--- a/internal/replay/meter.go
+++ b/internal/replay/meter.go
@@ -6,8 +6,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/trace"
 )
@@ -65,7 +65,7 @@
 		crossed      int
 		late         int
 		cut          int
-		verdicts     map[gate.Verdict]int
+		verdicts     map[permit.Verdict]int
 		waits        int
 		acceptedAt   map[uint64]time.Duration
 		inForceAfter map[uint64]time.Duration
@@ -93,7 +93,7 @@
 		requests:     newSkewMeter(),
 		tokens:       newSkewMeter(),
 		reasons:      map[route.Reason]int{},
-		verdicts:     map[gate.Verdict]int{},
+		verdicts:     map[permit.Verdict]int{},
 		acceptedAt:   map[uint64]time.Duration{},
 		inForceAfter: map[uint64]time.Duration{},
 	}
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -7,10 +7,10 @@
 	"bulrushhinge.example/bulrushhinge/internal/builtin"
 	"bulrushhinge.example/bulrushhinge/internal/config"
 	"bulrushhinge.example/bulrushhinge/internal/endpoint"
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
 	"bulrushhinge.example/bulrushhinge/internal/membership"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/pool"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/trace"
@@ -33,9 +33,9 @@
 		name    string
 		zone    string
 		kernel  *kernel.Kernel
-		gate    *gate.Gate
+		gate    *permit.Gate
 		router  *route.Router
-		holder  *gate.Holder
+		holder  *permit.Holder
 		alive   bool
 		leaving bool
 		closed  bool
@@ -58,7 +58,7 @@
 )
 
 func newNode(s *simulation, info trace.Node) *node {
-	n := &node{sim: s, name: info.Instance, zone: info.Zone, alive: true, since: s.queue.now, jobs: map[*job]bool{}, holder: gate.NewHolder()}
+	n := &node{sim: s, name: info.Instance, zone: info.Zone, alive: true, since: s.queue.now, jobs: map[*job]bool{}, holder: permit.NewHolder()}
 	self := kernel.Node{
 		Name: info.Instance, Zone: info.Zone, Incarnation: s.random.Uint64(),
 		Caller: address(examplePort), Peer: address(examplePort),
--- a/internal/replay/permit.go
+++ b/internal/replay/permit.go
@@ -1,8 +1,8 @@
 package replay
 
 import (
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/peer"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 )
 
@@ -13,14 +13,14 @@
 	s.attempts++
 	j.permit = s.attempts
 	owner := step.Endpoint.Owner
-	request := gate.Request{
+	request := permit.Request{
 		ID: j.permit, Endpoint: step.Endpoint.Name, Node: n.name, Tokens: step.Tokens, Retry: step.Retry,
 		Lease: j.request.Deadline.Sub(s.time()) + leaseSlack,
 	}
-	batch := gate.Batch{Requests: []gate.Request{request}, Releases: n.holder.TakeReleases(owner), OwnedLoad: n.gate.OwnedLoad(s.time(), request.Endpoint)}
-	n.send(owner, batch, func(r gate.Reply, ok bool) {
+	batch := permit.Batch{Requests: []permit.Request{request}, Releases: n.holder.TakeReleases(owner), OwnedLoad: n.gate.OwnedLoad(s.time(), request.Endpoint)}
+	n.send(owner, batch, func(r permit.Reply, ok bool) {
 		if !ok {
-			n.holder.QueueReleases(s.time(), owner, gate.Release{ID: request.ID})
+			n.holder.QueueReleases(s.time(), owner, permit.Release{ID: request.ID})
 			j.report(route.OutcomeUnreachable)
 			return
 		}
@@ -39,7 +39,7 @@
 }
 
 // send sends a batch to an owner and passes its reply to done.
-func (n *node) send(owner string, b gate.Batch, done func(gate.Reply, bool)) {
+func (n *node) send(owner string, b permit.Batch, done func(permit.Reply, bool)) {
 	s := n.sim
 	if owner == n.name {
 		done(n.gate.Apply(s.time(), b), true)
@@ -47,7 +47,7 @@
 	}
 	failed := func() {
 		n.holder.QueueReleases(s.time(), owner, b.Releases...)
-		done(gate.Reply{}, false)
+		done(permit.Reply{}, false)
 	}
 	if _, known := n.view().Node(owner); !known {
 		failed()
@@ -70,7 +70,7 @@
 // flush sends owners the releases and declarations that are due.
 func (n *node) flush() {
 	for _, d := range n.holder.Due(n.sim.time(), n.view()) {
-		n.send(d.Owner, d.Batch, func(gate.Reply, bool) {})
+		n.send(d.Owner, d.Batch, func(permit.Reply, bool) {})
 	}
 }
 
@@ -78,19 +78,19 @@
 func (n *node) release(id uint64) {
 	now := n.sim.time()
 	if n.holder.Release(now, id) == n.name {
-		n.gate.Apply(now, gate.Batch{Releases: n.holder.TakeReleases(n.name)})
+		n.gate.Apply(now, permit.Batch{Releases: n.holder.TakeReleases(n.name)})
 	}
 }
 
-func outcome(v gate.Verdict) route.Outcome {
+func outcome(v permit.Verdict) route.Outcome {
 	switch v {
-	case gate.Granted:
+	case permit.Granted:
 		return route.OutcomeGranted
-	case gate.Full:
+	case permit.Full:
 		return route.OutcomeDenied
-	case gate.Gone:
+	case permit.Gone:
 		return route.OutcomeUnavailable
-	case gate.TooLate:
+	case permit.TooLate:
 		return route.OutcomeDeadline
 	default:
 		return route.OutcomeUnreachable
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -15,8 +15,8 @@
 	"slices"
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 	"bulrushhinge.example/bulrushhinge/internal/policy"
 	"bulrushhinge.example/bulrushhinge/internal/route"
 	"bulrushhinge.example/bulrushhinge/pkg/hint"
@@ -79,7 +79,7 @@
 		meter      *meter
 		// ideal and rule make the decisions of the ideal router.
 		ideal    route.Ranker
-		rule     gate.Rule
+		rule     permit.Rule
 		attempts uint64
 		end      time.Duration
 		err      error
@@ -105,7 +105,7 @@
 		crashChats: map[string]bool{},
 	}
 	s.ideal = cmp.Or(c.Policy.Route(s.random).Ranker, route.NewCostRanker(route.CostConfig{Choices: math.MaxInt}))
-	s.rule = cmp.Or(c.Policy.Gate.Rule, gate.Rule(gate.NewBoundRule()))
+	s.rule = cmp.Or(c.Policy.Gate.Rule, permit.Rule(permit.NewBoundRule()))
 	s.meter = newMeter(s)
 	s.platform = newFakePlatform(s)
 	s.start()
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 type (
@@ -97,7 +97,7 @@
 	r := &Result{
 		Trace: h.Name, Seed: h.Seed, Policy: m.sim.config.Policy.Name, Asks: len(m.order),
 		Requests: m.requests.skew(), Tokens: m.tokens.skew(),
-		Granted: m.verdicts[gate.Granted], Denied: m.verdicts[gate.Full], Waits: m.waits,
+		Granted: m.verdicts[permit.Granted], Denied: m.verdicts[permit.Full], Waits: m.waits,
 		Rerun: m.rerun, Crossed: m.crossed, Late: m.late, Refused: map[string]int{},
 	}
 	if m.sim.config.Ideal {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"bulrushhinge.example/bulrushhinge/internal/gate"
 	"bulrushhinge.example/bulrushhinge/internal/kernel"
+	"bulrushhinge.example/bulrushhinge/internal/permit"
 )
 
 // reportTTL is how long a load that an owner reported in a permit reply takes
@@ -24,7 +24,7 @@
 		NoPermits bool
 		// Rule decides which endpoints would deny a permit; nil is the owners'
 		// default rule.
-		Rule gate.Rule
+		Rule permit.Rule
 		// Import is the cost of importing a cached token relative to computing it, by
 		// service; endpoints of other services cannot import.
 		Import map[string]float64
@@ -73,7 +73,7 @@
 		c.Ranker = NewCostRanker(CostConfig{})
 	}
 	if c.Rule == nil {
-		c.Rule = gate.NewBoundRule()
+		c.Rule = permit.NewBoundRule()
 	}
 	c.Memory = cmp.Or(c.Memory, DefaultMemory)
 	return &Router{config: c, chats: newChatCache(c.Memory), estimates: newEstimates(), hitRates: newHitRates(), retryBudget: newRetryBudget(), loadReports: map[string]loadReport{}}
--- a/slopes.sh
+++ b/slopes.sh
@@ -7,7 +7,7 @@
   echo "## $1: $2"
   go test -run '^$' -bench "$2" "./$1" | grep '^Benchmark' || true
 }
-bench internal/gate 'Admit'
+bench internal/permit 'Admit'
 bench internal/route 'Plan'
 bench internal/membership 'Beat|Step|ChangeSpread'
 bench internal/peer 'Handshake|Beat'
